--- a/cores/src/placement.rs
+++ b/cores/src/placement.rs
@@ -35,36 +35,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn shares_are_whole_and_spare_the_judge() {
-        for cores in 1..=CORES_MOST {
-            let shares = shares(cores);
-            assert_eq!(shares.len(), cores);
-            assert!((shares.iter().sum::<f64>() - 1.0).abs() < 1e-9);
-            assert!(shares.iter().all(|s| *s <= shares[cores - 1] + 1e-12), "{shares:?}");
-        }
-        assert!(shares(2)[0] > 0.3 && shares(2)[0] < 0.4);
-        assert_eq!(shares(4)[0], 0.0);
-    }
-
-    #[test]
-    fn a_pick_fills_to_the_shares() {
-        let shares = shares(3);
-        let mut held = vec![(0, true); 3];
-        for _ in 0..300 {
-            let core = pick(&shares, &held);
-            held[core].0 += 1;
-        }
-        for (share, (held, _)) in shares.iter().zip(held) {
-            assert!((held as f64 - share * 300.0).abs() <= 2.0, "{held} of 300 for {share}");
-        }
-    }
-
-    #[test]
-    fn with_none_fit_a_connection_still_has_a_core() {
-        assert_eq!(pick(&[0.0, 0.5, 0.5], &[(0, true), (9, false), (3, false)]), 2);
-    }
-}
+mod tests;
--- a/gateway/src/broker/keys.rs
+++ b/gateway/src/broker/keys.rs
@@ -193,22 +193,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_result_that_is_kept_comes_back_as_it_was_and_a_large_one_is_not_kept() {
-        let cell = |text: &'static str| Some(Bytes::from_static(text.as_bytes()));
-        let rows = Rows {
-            columns: 3,
-            names: vec!["a".into(), "b".into(), "c".into()],
-            cells: vec![cell("1"), None, cell("")],
-            changed: Some(7),
-            ..Rows::default()
-        };
-        assert_eq!(pack(&rows).and_then(|p| unpack(&p)), Some(rows));
-        let large = Rows { columns: 1, cells: vec![Some(vec![b'x'; VALUE_MOST].into())], ..Rows::default() };
-        assert_eq!(pack(&large), None);
-        assert_eq!(unpack(b"\xff\xff\xff\xff\xff"), None);
-    }
-}
+mod tests;
--- a/gateway/src/figures.rs
+++ b/gateway/src/figures.rs
@@ -171,28 +171,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn every_end_is_counted_once_and_nothing_stays_pending() {
-        let figures = Arc::new(Figures::new(&["lookup".to_owned(), "batch-post".to_owned()]));
-        let mut taken: Vec<_> = (0..6).map(|n| figures.take(ClassId(n % 2))).collect();
-        assert_eq!(figures.pending(), 6);
-        taken[0].end(Ending::Completed);
-        taken[0].end(Ending::Failed);
-        taken[1].end(Ending::Rejected);
-        taken[2].end(Ending::Failed);
-        taken[3].end(Ending::Completed);
-        assert_eq!(figures.pending(), 2);
-        drop(taken);
-        assert_eq!(figures.pending(), 0);
-        figures.upstream();
-        figures.set_members(7);
-        figures.set_unavailable(2);
-        let lines = "svc.completed.lookup:1|c\nsvc.rejected.lookup:0|c\nsvc.failed.lookup:1|c\n\
-            svc.completed.batch-post:1|c\nsvc.rejected.batch-post:1|c\nsvc.failed.batch-post:0|c\n\
-            svc.upstream_requests:1|c\nsvc.pending:0|g\nsvc.members:7|g\nsvc.members_unavailable:2|g\n";
-        assert_eq!(figures.text(), lines);
-    }
-}
+mod tests;
--- /dev/null
+++ b/gateway/tests/golden.rs
@@ -0,0 +1,114 @@
+//! What the program has stored before the names of its types changed: the keys and values in the shared store, the
+//! file of a process in an upgrade, and the numbers by which a snapshot is known as this front end's own.
+
+mod support;
+
+use reedwalk_gateway::state::owner;
+use reedwalk_gateway::store::link::{Link, Terms};
+use reedwalk_gateway::succession::Succession;
+use reedwalk_membership::Stage;
+use reedwalk_store::keyed::{Close, Sent};
+use std::collections::BTreeMap;
+use std::fs::File;
+use std::sync::Arc;
+use std::time::Duration;
+use support::redis::{Redis, Value};
+use support::{config, folder, until};
+use tokio::time::Instant;
+
+const FRONT: u64 = 0xabc;
+const WINDOW: Duration = Duration::from_secs(12);
+const SENT: &str = "01d50e77fc07ce9eded8ad33";
+const DONE: &str = "01df2f6eba11616e20616e737765722c207061636b6564";
+
+fn log() -> slog::Logger {
+    slog::Logger::root(slog::Discard, slog::o!())
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// The keys in the store with their values: text as it is, the fields of a hash, `v` in hexadecimal digits.
+fn contents(redis: &Redis) -> BTreeMap<String, String> {
+    let text = |bytes: &[u8]| String::from_utf8(bytes.to_owned()).unwrap();
+    let field = |(name, value): (&Vec<u8>, &Vec<u8>)| {
+        let name = text(name);
+        let value = if name == "v" { hex(value) } else { text(value) };
+        format!("{name}={value}")
+    };
+    let value = |value: &Value| match value {
+        Value::Text(bytes) => text(bytes),
+        Value::Hash(fields) => fields.iter().map(field).collect::<Vec<_>>().join(" "),
+    };
+    redis.save().iter().map(|(key, entry)| (text(key), value(&entry.value))).collect()
+}
+
+fn pairs<const N: usize>(pairs: [(&str, &str); N]) -> BTreeMap<String, String> {
+    pairs.into_iter().map(|(key, value)| (key.to_owned(), value.to_owned())).collect()
+}
+
+#[tokio::test]
+async fn keys_and_values_in_the_shared_store_are_as_before() {
+    let redis = Redis::default();
+    let url = format!("redis://{}", redis.start().await);
+    let link = Arc::new(Link::new(&url, Terms::default(), FRONT, WINDOW, log()).unwrap());
+    let by = || Instant::now() + Duration::from_secs(5);
+    let (key, holder) = (link.key("batch-post", b"k1"), link.holder());
+    link.claim(&key, holder, false, WINDOW, by()).await.expect("claimed");
+    let (at, lease) = ("reedwalk:1:key:batch-post:k1", "reedwalk:1:key:batch-post:k1:lease");
+    let name = "0000000000000abc-1";
+    let claimed = format!("h={name} s=c");
+    assert_eq!(contents(&redis), pairs([(at, &claimed), (lease, name)]));
+
+    let sent = Sent { group: 7, at_ms: 1_764_612_345_678 };
+    assert_eq!(link.mark(&key, holder, sent, WINDOW, by()).await, Some(true));
+    let marked = format!("h={name} s=s v={SENT}");
+    assert_eq!(contents(&redis), pairs([(at, &marked), (lease, name)]));
+
+    let budget = link.budget("acquiring", 60_000, 29_410_205);
+    assert_eq!(link.lease(&budget, 25, 600, u64::MAX >> 12, by()).await, Some(25));
+    link.close(key, holder, WINDOW, Close::Done(b"an answer, packed".to_vec()));
+    let writer = tokio::spawn(link.run());
+    let done = format!("h= s=d v={DONE}");
+    until("the end is written", || contents(&redis).get(at) == Some(&done)).await;
+    writer.abort();
+    let mut found = contents(&redis);
+    let count = found.remove("reedwalk:1:count:0000000000000abc").expect("the front end's own count");
+    assert!(count.parse::<u64>().is_ok(), "{count}");
+    assert_eq!(found, pairs([(at, &done), ("reedwalk:1:budget:acquiring:60000:29410205", "25")]));
+}
+
+#[test]
+fn process_file_is_written_as_before() {
+    let folder = folder();
+    let mut own = Succession::enter(&folder, "n0-3306", log());
+    let read = || std::fs::read_to_string(folder.join("n0-3306.process-0")).unwrap();
+    assert_eq!(read(), "starting");
+    own.say(Stage::Serving);
+    assert_eq!(read(), "serving ");
+    own.say(Stage::Closing);
+    assert_eq!(read(), "closing ");
+}
+
+#[test]
+fn process_file_of_the_version_before_is_read() {
+    for (word, share, relieved) in
+        [("starting", 0.5, false), ("serving ", 0.5, true), ("closing ", 0.75, false)]
+    {
+        let folder = folder();
+        let path = folder.join("n0-3306.process-0");
+        std::fs::write(&path, word).unwrap();
+        let other = File::open(&path).unwrap();
+        other.lock().unwrap();
+        let own = Succession::enter(&folder, "n0-3306", log());
+        let part = *own.part().borrow();
+        assert_eq!((part.share, part.relieved), (share, relieved), "{word}");
+    }
+}
+
+#[test]
+fn snapshot_is_known_as_own_by_the_numbers_of_before() {
+    let owner = owner(&config(&[]));
+    assert_eq!((owner.front, owner.settings), (2_437_067_630_976_460_137, 778_519_516_823_575_185));
+}
--- a/membership/src/record.rs
+++ b/membership/src/record.rs
@@ -88,48 +88,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn some() -> Hand {
-        let mut hand = Hand::default();
-        hand.say("s-00c41f7a", Word::Out, 1_764_612_345_678_901).unwrap();
-        hand.say("s-2", Word::Out, 5).unwrap();
-        hand.say("s-2", Word::Back, 6).unwrap();
-        hand
-    }
-
-    #[test]
-    fn what_is_written_is_read_again() {
-        assert_eq!(read(&write(&some())), Ok(some()));
-        assert_eq!(read(&write(&Hand::default())), Ok(Hand::default()));
-    }
-
-    #[test]
-    fn a_cut_record_is_none_wherever_it_is_cut() {
-        let whole = write(&some());
-        for size in 0..whole.len() {
-            assert!(read(&whole[..size]).is_err(), "{size} of {} bytes", whole.len());
-        }
-    }
-
-    #[test]
-    fn no_changed_byte_goes_unseen() {
-        let whole = write(&some());
-        for at in 0..whole.len() {
-            for change in [0x01, 0x20, 0x80] {
-                let mut bytes = whole.clone();
-                bytes[at] ^= change;
-                // The case of a hexadecimal digit, and the space before the version, say the same.
-                assert!(read(&bytes).is_err() || read(&bytes) == Ok(some()), "byte {at}");
-            }
-        }
-    }
-
-    #[test]
-    fn another_version_is_not_guessed_at() {
-        let text = String::from_utf8(write(&some())).unwrap().replace("words 1\n", "words 2\n");
-        assert_eq!(read(text.as_bytes()), Err(BadRecord::Version));
-        assert_eq!(read(&vec![b'x'; RECORD_MOST + 1]), Err(BadRecord::TooLarge));
-    }
-}
+mod tests;
--- /dev/null
+++ b/recovery/tests/golden.rs
@@ -0,0 +1,132 @@
+//! The snapshot folder as the program wrote it before the names of its types changed: bytes and file names stay.
+
+use reedwalk_recovery::keep::{Files, Keeper, look};
+use reedwalk_recovery::memory::{ClassMemory, EngineMemory, KeyMemory, Memory, Reached};
+use reedwalk_recovery::record::Owner;
+use std::collections::BTreeMap;
+use std::convert::Infallible;
+
+const OWNER: Owner = Owner { host: 0x1122_3344_5566_7788, front: 0x99aa, settings: u64::MAX };
+const WRITTEN_MS: u64 = 1_764_612_345_678;
+
+/// A folder in memory.
+#[derive(Default)]
+struct Folder(BTreeMap<String, Vec<u8>>);
+
+impl Files for Folder {
+    type Error = Infallible;
+
+    fn names(&self) -> Result<Vec<String>, Infallible> {
+        Ok(self.0.keys().cloned().collect())
+    }
+
+    fn read(&self, name: &str, _limit: usize) -> Result<Vec<u8>, Infallible> {
+        Ok(self.0[name].clone())
+    }
+
+    fn write(&mut self, name: &str, bytes: &[u8]) -> Result<(), Infallible> {
+        self.0.insert(name.to_owned(), bytes.to_owned());
+        Ok(())
+    }
+
+    fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), Infallible> {
+        self.0.get_mut(name).expect("the file exists").extend_from_slice(bytes);
+        Ok(())
+    }
+
+    fn sync(&mut self, _name: &str) -> Result<(), Infallible> {
+        Ok(())
+    }
+
+    fn rename(&mut self, from: &str, to: &str) -> Result<(), Infallible> {
+        let bytes = self.0.remove(from).expect("the file exists");
+        self.0.insert(to.to_owned(), bytes);
+        Ok(())
+    }
+
+    fn sync_folder(&mut self) -> Result<(), Infallible> {
+        Ok(())
+    }
+
+    fn remove(&mut self, name: &str) -> Result<(), Infallible> {
+        self.0.remove(name);
+        Ok(())
+    }
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits = text.trim();
+    let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).expect("two hexadecimal digits");
+    (0..digits.len()).step_by(2).map(byte).collect()
+}
+
+fn key(key: u64, reached: Reached, group: Option<u64>) -> KeyMemory {
+    KeyMemory { key, reached, group, sent: WRITTEN_MS - key }
+}
+
+fn snapshot() -> Memory {
+    Memory {
+        written: WRITTEN_MS,
+        serial: Some(4711),
+        living: 3,
+        engines: vec![
+            EngineMemory { id: "s-00c41f7a".into(), started: 0, slowdown: None, away_until: 0 },
+            EngineMemory {
+                id: "s-2".into(),
+                started: 1_764_600_000_000,
+                slowdown: Some(1.75),
+                away_until: 1_764_612_346_000,
+            },
+        ],
+        classes: vec![
+            ClassMemory {
+                name: "lookup".into(),
+                exec: (8_250.5, 100.0),
+                best: None,
+                width: (7_000.25, 12.0),
+            },
+            ClassMemory { name: "batch-post".into(), exec: (1.0, 2.0), best: Some(0.5), width: (0.0, 0.0) },
+        ],
+        keys: vec![
+            key(1, Reached::Sent, None),
+            key(2, Reached::Served, Some(0)),
+            key(3, Reached::NeverRan, Some(u64::MAX)),
+        ],
+    }
+}
+
+fn logged() -> Vec<KeyMemory> {
+    vec![key(4, Reached::Sent, Some(7)), key(5, Reached::Served, None), key(6, Reached::NeverRan, None)]
+}
+
+fn golden() -> Folder {
+    let files =
+        [("record-1", include_str!("golden/record-1.hex")), ("log-1", include_str!("golden/log-1.hex"))];
+    Folder(files.into_iter().map(|(name, bytes)| (name.to_owned(), unhex(bytes))).collect())
+}
+
+#[test]
+fn snapshot_folder_is_written_as_before() {
+    let mut folder = Folder::default();
+    let mut keeper = Keeper::new(&folder, OWNER);
+    keeper.save(&mut folder, &snapshot()).unwrap();
+    keeper.append(&mut folder, &logged()).unwrap();
+    let written: Vec<_> = folder.0.iter().map(|(name, bytes)| (name, hex(bytes))).collect();
+    let golden = golden();
+    let expected: Vec<_> = golden.0.iter().map(|(name, bytes)| (name, hex(bytes))).collect();
+    assert_eq!(written, expected);
+}
+
+#[test]
+fn snapshot_folder_of_the_version_before_is_read() {
+    let found = look(&golden(), OWNER, WRITTEN_MS + 1_000);
+    assert_eq!((found.generation, found.entries, found.torn), (Some(1), 3, 0));
+    assert_eq!(found.unused, []);
+    let mut expected = snapshot();
+    expected.keys.extend(logged());
+    assert_eq!(found.memory, expected);
+}
