--- /dev/null
+++ b/gateway/src/broker/actions.rs
@@ -0,0 +1,108 @@
+//! Steps of the scheduler, and the actions that it decides on.
+
+use super::Broker;
+use super::attempts::UnsentAttempt;
+use crate::message::{EngineTransport, Failure, OutlierKind, OutlierReport, Rejection, Response};
+use reedwalk_core::{Action, AttemptNo, Ended, EngineId, Event, Outcome, RequestId};
+use slog::{info, warn};
+use std::time::Duration;
+use tokio::time::Instant;
+
+impl<T: EngineTransport> Broker<T> {
+    /// Steps the scheduler until its actions cause no further events.
+    pub(super) fn step_scheduler(&mut self, now: Instant) {
+        let mut actions = Vec::new();
+        loop {
+            let events = std::mem::take(&mut self.pending);
+            self.scheduler.step(self.clock.time(now), &events, &mut actions);
+            let mut unsent = Vec::new();
+            for action in actions.drain(..) {
+                unsent.extend(self.apply_action(action, now));
+            }
+            for attempt in unsent {
+                self.report_unsent(attempt);
+            }
+            if self.pending.is_empty() {
+                return;
+            }
+        }
+    }
+
+    /// Tells the scheduler that an attempt it wanted was not sent.
+    fn report_unsent(&mut self, attempt: UnsentAttempt) {
+        let UnsentAttempt { request, number } = attempt;
+        let closed = !self.requests.is_unanswered(request);
+        let outcome = Outcome::Moot;
+        let ended = Ended { request, attempt: number, outcome, closed, bill: None, load: None };
+        self.pending.push(Event::Ended(ended));
+    }
+
+    /// Carries out an action. Returns the attempt that it asked for, if that was not sent.
+    fn apply_action(&mut self, action: Action, now: Instant) -> Option<UnsentAttempt> {
+        match action {
+            Action::Send { request, engine, timeout } => {
+                // The one place where a duration of the scheduler becomes an instant.
+                let timeout_at = timeout.map(|timeout| now + timeout);
+                return self.send_attempt(request, engine, timeout_at, now).err();
+            }
+            Action::Cancel { request, attempt } => self.cancel(request, attempt),
+            Action::Refuse { request, retry_after } => {
+                self.respond(request, Response::Rejected { reason: Rejection::Busy, retry_after });
+                self.remove_if_complete(request);
+            }
+            Action::Fail { request } => self.fail(request, now),
+            Action::Terms { request, memory_mb, priority } => {
+                self.set_resource_grant(request, memory_mb, priority);
+            }
+            Action::Wake(after) => self.wake_at = Some(now + after),
+            Action::Suspect { engine, silent, lasts } => self.report_ejection(engine, silent, lasts, now),
+            Action::Log(line) => info!(self.log, "scheduler"; "message" => line),
+            // Health checks are not allowed here, and the name server is polled in any case.
+            Action::Probe(engine) => warn!(self.log, "health check not allowed"; "engine" => engine.0),
+            Action::Subscribe => {}
+        }
+        None
+    }
+
+    fn cancel(&mut self, request: RequestId, attempt: AttemptNo) {
+        let in_flight = self.requests.in_flight(request).iter();
+        let found = in_flight.copied().find(|in_flight| in_flight.number == attempt);
+        if let Some(attempt) = found {
+            self.cancel_attempt(attempt.id, Outcome::Cancelled);
+        }
+    }
+
+    fn fail(&mut self, request: RequestId, now: Instant) {
+        let is_late = self.requests.get(request).is_some_and(|open| open.request.deadline <= now);
+        let response = if is_late {
+            Response::Failed(Failure::Deadline)
+        } else {
+            // The scheduler takes whatever is bound to an engine's group for something that may have run.
+            self.rejection_or(request, Failure::Engine)
+        };
+        self.respond(request, response);
+        self.remove_if_complete(request);
+    }
+
+    fn set_resource_grant(&mut self, request: RequestId, memory_mb: Option<f64>, priority: u8) {
+        let Some(open) = self.requests.get_mut(request) else { return };
+        let has_changed = open.priority != priority;
+        open.memory_mb = memory_mb;
+        open.priority = priority;
+        if has_changed {
+            for attempt in &open.in_flight {
+                self.transport.set_priority(attempt.id, priority);
+            }
+        }
+    }
+
+    fn report_ejection(&mut self, engine: EngineId, silent: bool, lasts: Duration, now: Instant) {
+        let (reason, kind) = if silent {
+            ("unresponsive", OutlierKind::Unresponsive)
+        } else {
+            ("failing", OutlierKind::Failing)
+        };
+        info!(self.log, "engine ejected"; "reason" => reason, "engine" => engine.0);
+        self.report_outlier(OutlierReport { engine, kind, until: now + lasts });
+    }
+}
--- /dev/null
+++ b/gateway/src/broker/admission.rs
@@ -0,0 +1,159 @@
+//! Admission of a request before the scheduler hears of it: the broker's own capacity, the team's quota, the start-up
+//! phase, and what is known of the request's idempotency key.
+
+use super::Broker;
+use super::packed_rows::unpack;
+use super::recovery_guard::RecoveryVerdict;
+use super::request_table::OpenRequest;
+use super::requests::request_timer;
+use crate::message::{
+    BrokerEvent, Charge, ClaimAnswer, EngineTransport, Failure, QuotaDecision, QuotaRequest, Rejection,
+    Request, Response, ResponseHandle,
+};
+use reedwalk_core::{Arrival, Event, GroupId, RequestId};
+use reedwalk_store::keyed::{Earlier, Step};
+use tokio::time::Instant;
+
+impl<T: EngineTransport> Broker<T> {
+    /// A request has arrived.
+    pub(super) fn on_request(
+        &mut self,
+        id: RequestId,
+        mut request: Request,
+        response: ResponseHandle,
+        now: Instant,
+    ) {
+        if let Some(shutdown_deadline) = self.shutdown_deadline {
+            request.deadline = request.deadline.min(shutdown_deadline);
+        }
+        self.counters.arrived += 1;
+        if !self.requests.has_capacity(self.capacity_share) {
+            self.counters.rejected += 1;
+            let retry_after = self.limits.retry_after;
+            return response.send(Response::Rejected { reason: Rejection::Shed, retry_after });
+        }
+        if self.requests.contains_trace_id(&request.trace_id) {
+            self.counters.failed += 1;
+            return response.send(Response::Failed(Failure::IdInUse));
+        }
+        let quota_request = match self.quota_request(&request) {
+            Ok(quota_request) => quota_request,
+            Err(reason) => {
+                self.counters.rejected += 1;
+                return response.send(Response::Rejected { reason, retry_after: None });
+            }
+        };
+        let (at, timer) = request_timer(id, request.deadline);
+        self.timers.arm(at, timer);
+        self.requests.insert(id, OpenRequest::new(request, response));
+        match quota_request {
+            Some(quota_request) => self.spawn_quota_check(id, quota_request),
+            None => self.check_idempotency(id, now),
+        }
+    }
+
+    /// What a request costs its team; `None` without quotas.
+    fn quota_request(&self, request: &Request) -> Result<Option<QuotaRequest>, Rejection> {
+        match &self.contracts {
+            Some(contracts) => contracts.cover(request.team.as_deref(), request.class).map(Some),
+            None => Ok(None),
+        }
+    }
+
+    /// Charges a request's team. A shared store may take a while for that, so it is waited for in a task of its own.
+    fn spawn_quota_check(&self, id: RequestId, quota_request: QuotaRequest) {
+        let Some(contracts) = self.contracts.clone() else { return };
+        let events = self.events.clone();
+        tokio::spawn(async move {
+            let decision = contracts.spend(&quota_request).await;
+            let _ = events.send(BrokerEvent::QuotaDecided { request: id, decision }).await;
+        });
+    }
+
+    /// A request's team was charged, or has no quota left.
+    pub(super) fn on_quota_decision(&mut self, id: RequestId, decision: QuotaDecision, now: Instant) {
+        match decision {
+            QuotaDecision::Admitted(charge) => {
+                self.keep_charge(id, charge);
+                self.check_idempotency(id, now);
+            }
+            QuotaDecision::Exhausted(retry_after) => {
+                let retry_after = Some(retry_after);
+                self.respond(id, Response::Rejected { reason: Rejection::Budget, retry_after });
+                self.remove_if_complete(id);
+            }
+        }
+    }
+
+    /// Remembers what was charged, or gives it back where the request has ended meanwhile.
+    fn keep_charge(&mut self, id: RequestId, charge: Charge) {
+        match self.requests.get_unanswered_mut(id) {
+            Some(open) => open.charge = Some(charge),
+            None => self.refund(&charge),
+        }
+    }
+
+    /// Asks the recovery guard and the shared store what is known of a request's idempotency key.
+    fn check_idempotency(&mut self, id: RequestId, now: Instant) {
+        let Some(open) = self.requests.get_unanswered(id) else { return };
+        let mut earlier = None;
+        if let Some(recovery) = &mut self.recovery {
+            match recovery.check(&open.request, now) {
+                RecoveryVerdict::Admit(attempt) => earlier = attempt,
+                RecoveryVerdict::Reject(retry_after) => {
+                    return self.apply_idempotency_verdict(id, Step::Refuse(retry_after), now);
+                }
+            }
+        }
+        // The store knows what all gateways have sent; its word takes precedence over what this one remembers.
+        let step = match &mut self.idempotency {
+            Some(idempotency) => idempotency.arrive(id, &open.request, now),
+            None => Step::Go(earlier),
+        };
+        self.apply_idempotency_verdict(id, step, now);
+    }
+
+    /// The shared store has answered a claim, or has not in time.
+    pub(super) fn on_claim_answer(&mut self, id: RequestId, answer: Option<ClaimAnswer>, now: Instant) {
+        let Some(idempotency) = &mut self.idempotency else { return };
+        if let Some(step) = idempotency.on_claim_answer(id, answer) {
+            self.apply_idempotency_verdict(id, step, now);
+        }
+    }
+
+    fn apply_idempotency_verdict(&mut self, id: RequestId, step: Step, now: Instant) {
+        let response = match step {
+            Step::Claim => return,
+            Step::Go(earlier) => return self.admit(id, earlier, now),
+            Step::Answer(stored) => match unpack(&stored) {
+                Some(rows) => Response::Served(rows),
+                None => Response::Failed(Failure::Engine),
+            },
+            Step::Refuse(retry_after) => {
+                Response::Rejected { reason: Rejection::Busy, retry_after: Some(retry_after) }
+            }
+            Step::Fail => Response::Failed(Failure::Engine),
+        };
+        self.respond(id, response);
+        self.remove_if_complete(id);
+    }
+
+    /// Tells the scheduler of a request. `earlier` is an attempt of an earlier request with the same key.
+    fn admit(&mut self, id: RequestId, earlier: Option<Earlier>, now: Instant) {
+        let Some(open) = self.requests.get_unanswered_mut(id) else { return };
+        open.first_sent_at = earlier.as_ref().and_then(|attempt| now.checked_sub(attempt.ago));
+        let request = &open.request;
+        self.pending.push(Event::Arrival(Arrival {
+            request: id,
+            class: request.class,
+            tenant: Default::default(),
+            key: request.idempotency_key.as_deref().map(reedwalk_settings::key),
+            group: request.table_group.map(GroupId),
+            patience: request.deadline.saturating_duration_since(now),
+            work: request.work,
+            memory_mb: request.memory_mb,
+            repeated: request.is_retry,
+            earlier: earlier.map(|attempt| reedwalk_core::Earlier { group: attempt.group, ago: attempt.ago }),
+        }));
+    }
+}
--- /dev/null
+++ b/gateway/src/broker/recovery_guard.rs
@@ -0,0 +1,236 @@
+//! What a gateway that recovers from a restart may do, as far as the broker is concerned: whether a request is admitted
+//! in the present start-up phase, what is known of its idempotency key, and when something has to be persisted. The
+//! decisions are made in `reedwalk-recovery`. Nothing here waits.
+
+use super::dedup_groups::DeduplicationGroups;
+use crate::figures::Figures;
+use crate::health::Health;
+use crate::message::{PersistedEvent, Request};
+use crate::store::unix_ms;
+use reedwalk_core::{Effect, EngineEntry, EngineId, Gateway, KeyScope};
+use reedwalk_recovery::Millis;
+use reedwalk_recovery::keys::{Keyed, Keys, Step};
+use reedwalk_recovery::memory::KeyMemory;
+use reedwalk_recovery::stages::{May, Return, Setup, Stage};
+use reedwalk_settings::Deployment;
+use reedwalk_store::keyed::Earlier;
+use slog::{Logger, info};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+/// How often everything that was learned is persisted.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(5);
+/// How often the metrics are updated.
+const METRICS_INTERVAL: Duration = Duration::from_millis(200);
+/// Multiplier and increment of the linear congruential generator behind [`RecoveryGuard::draw`].
+const LCG_MULTIPLIER: u64 = 0x5851_F42D_4C95_7F2D;
+const LCG_INCREMENT: u64 = 0x1405_7B7E_F767_814F;
+
+/// What a broker needs in order to persist its state and to recover it.
+#[derive(Debug)]
+pub struct RecoverySetup {
+    /// Where changes are persisted.
+    pub persisted_events: mpsc::Sender<PersistedEvent>,
+    /// Idempotency keys that the process before had persisted.
+    pub keys: Vec<KeyMemory>,
+    /// There is a name server, and its first answer is waited for.
+    pub has_name_server: bool,
+    /// Reports whether clients are served.
+    pub health: Health,
+}
+
+/// Whether a request may be admitted.
+pub(super) enum RecoveryVerdict {
+    /// It may, bound to where an attempt of an earlier request of its key was sent, if one was.
+    Admit(Option<Earlier>),
+    /// It may not; the client is asked to wait that long before it retries.
+    Reject(Duration),
+}
+
+/// How the idempotency keys of a class are treated.
+#[derive(Clone, Copy)]
+struct KeyedClass {
+    scope: KeyScope,
+    rules: Keyed,
+}
+
+#[derive(Default)]
+struct Counters {
+    rejected: u64,
+    bound: u64,
+    not_persisted: u64,
+}
+
+/// Start-up phases and persisted idempotency keys, around the decisions of `reedwalk-recovery`.
+pub(super) struct RecoveryGuard {
+    persisted_events: mpsc::Sender<PersistedEvent>,
+    health: Health,
+    figures: Arc<Figures>,
+    phases: Return,
+    keys: Keys,
+    classes: Vec<Option<KeyedClass>>,
+    groups: DeduplicationGroups,
+    next_snapshot: Instant,
+    next_metrics: Instant,
+    /// The Unix time at the start, and the instant of that.
+    started_ms: Millis,
+    started_at: Instant,
+    counters: Counters,
+    random: u64,
+    log: Logger,
+}
+
+impl RecoveryGuard {
+    /// A guard in the first start-up phase.
+    pub(super) fn new(
+        setup: RecoverySetup,
+        deployment: &Deployment,
+        figures: Arc<Figures>,
+        log: Logger,
+    ) -> Self {
+        let classes: Vec<_> = deployment.core.classes.iter().map(|class| keyed_class(class.effect)).collect();
+        let window = classes.iter().flatten().map(|class| class.rules.window).max().unwrap_or(0);
+        let (started_ms, now) = (unix_ms(), Instant::now());
+        let names = setup.has_name_server;
+        let phases = Return::new(Setup { started: started_ms, window, peers: false, names });
+        let guard = Self {
+            persisted_events: setup.persisted_events,
+            health: setup.health,
+            figures,
+            phases,
+            keys: Keys::new(&setup.keys, window, started_ms),
+            classes,
+            groups: DeduplicationGroups::default(),
+            next_snapshot: now,
+            next_metrics: now,
+            started_ms,
+            started_at: now,
+            counters: Counters::default(),
+            random: started_ms,
+            log,
+        };
+        guard.update_health();
+        guard
+    }
+
+    fn update_health(&self) {
+        self.health.set_held(self.phases.stage() < Stage::Letting);
+    }
+
+    fn unix_ms(&self, now: Instant) -> Millis {
+        self.started_ms + now.saturating_duration_since(self.started_at).as_millis() as Millis
+    }
+
+    /// A number from 0 to 1 that need only differ from one request to the next.
+    fn draw(&mut self) -> f64 {
+        self.random = self.random.wrapping_mul(LCG_MULTIPLIER).wrapping_add(LCG_INCREMENT);
+        (self.random >> 32) as f64 / f64::from(u32::MAX)
+    }
+
+    /// Takes in changed entries of the endpoint list.
+    pub(super) fn update_endpoints(&mut self, entries: &[EngineEntry]) {
+        self.groups.update(entries);
+    }
+
+    /// Whether a request that has arrived may be admitted.
+    pub(super) fn check(&mut self, request: &Request, now: Instant) -> RecoveryVerdict {
+        let now_ms = self.unix_ms(now);
+        let draw = self.draw();
+        if let May::NotBefore(at_ms) = self.phases.admits(draw) {
+            return self.reject_until(at_ms, now_ms);
+        }
+        let Some(class) = self.classes.get(request.class.0).copied().flatten() else {
+            return RecoveryVerdict::Admit(None);
+        };
+        let Some(idempotency_key) = request.idempotency_key.as_deref() else {
+            return RecoveryVerdict::Admit(None);
+        };
+        let key = reedwalk_settings::key(idempotency_key).0;
+        match self.keys.arrive(key, class.rules, request.is_retry, &self.phases, now_ms) {
+            Step::First => RecoveryVerdict::Admit(None),
+            Step::Again { group, ago } => {
+                self.counters.bound += 1;
+                RecoveryVerdict::Admit(Some(Earlier { group, ago: Duration::from_millis(ago) }))
+            }
+            Step::NotBefore(at_ms) => self.reject_until(at_ms, now_ms),
+        }
+    }
+
+    fn reject_until(&mut self, at_ms: Millis, now_ms: Millis) -> RecoveryVerdict {
+        self.counters.rejected += 1;
+        let wait_ms = at_ms.saturating_sub(now_ms).max(1);
+        RecoveryVerdict::Reject(Duration::from_millis(wait_ms))
+    }
+
+    /// An attempt is about to be sent: persists its idempotency key, if that is new.
+    pub(super) fn before_send(&mut self, request: &Request, engine: EngineId, now: Instant) {
+        let Some(class) = self.classes.get(request.class.0).copied().flatten() else { return };
+        let Some(idempotency_key) = request.idempotency_key.as_deref() else { return };
+        let group = self.groups.group_of(engine, class.scope);
+        let now_ms = self.unix_ms(now);
+        if let Some(key) = self.keys.send(reedwalk_settings::key(idempotency_key).0, group, now_ms) {
+            self.persist(PersistedEvent::IdempotencyKey(key));
+        }
+    }
+
+    fn persist(&mut self, event: PersistedEvent) {
+        if self.persisted_events.try_send(event).is_err() {
+            self.counters.not_persisted += 1;
+        }
+    }
+
+    /// Advances the start-up phase, and persists what was learned and updates the metrics when it is time.
+    pub(super) fn tick(&mut self, scheduler: &Gateway, discovery_answered: bool, now: Instant) {
+        self.advance_phase(scheduler, discovery_answered, now);
+        if now >= self.next_snapshot {
+            self.next_snapshot = now + SNAPSHOT_INTERVAL;
+            let keys = self.keys.all(self.unix_ms(now));
+            let engines = scheduler.views().collect();
+            self.persist(PersistedEvent::Snapshot { classes: scheduler.paces(), engines, keys });
+        }
+        if now >= self.next_metrics {
+            self.next_metrics = now + METRICS_INTERVAL;
+            self.update_metrics();
+        }
+    }
+
+    fn advance_phase(&mut self, scheduler: &Gateway, discovery_answered: bool, now: Instant) {
+        let now_ms = self.unix_ms(now);
+        let phases_before = self.phases.left().len();
+        if discovery_answered {
+            self.phases.listed(now_ms);
+        }
+        if self.phases.stage() == Stage::Letting {
+            self.phases.pool(scheduler.warmth(), now_ms);
+        }
+        self.phases.go_on(now_ms);
+        for (stage, at_ms, reason) in &self.phases.left()[phases_before..] {
+            info!(self.log, "start-up phase over"; "phase" => stage.name(), "reason" => reason.name(),
+                "ms" => at_ms - self.started_ms, "next" => self.phases.stage().name());
+        }
+        if self.phases.left().len() > phases_before {
+            self.update_health();
+        }
+    }
+
+    fn update_metrics(&self) {
+        self.figures.set_return(vec![
+            ("stage", self.phases.stage() as u64, 'g'),
+            ("refused", self.counters.rejected, 'c'),
+            ("bound", self.counters.bound, 'c'),
+            ("unkept", self.counters.not_persisted, 'c'),
+        ]);
+    }
+}
+
+fn keyed_class(effect: Effect) -> Option<KeyedClass> {
+    match effect {
+        Effect::Keyed { scope, memory } => {
+            let rules = Keyed { all: scope == KeyScope::All, window: memory.as_millis() as Millis };
+            Some(KeyedClass { scope, rules })
+        }
+        _ => None,
+    }
+}
--- /dev/null
+++ b/gateway/src/broker/requests.rs
@@ -0,0 +1,167 @@
+//! The end of a request: its response, a client that disconnects, a deadline that passes.
+
+use super::timers::Timer;
+use super::{Broker, DISCONNECT_SCAN_INTERVAL};
+use crate::message::{Charge, EngineTransport, Failure, Rejection, Response};
+use reedwalk_core::{Event, Outcome, RequestId};
+use slog::debug;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The scheduler ends a request at its deadline; where it has not by this time after it, the broker does, still inside
+/// the slack that the rules allow.
+const DEADLINE_GRACE: Duration = Duration::from_millis(8);
+
+/// The timer of a request with this deadline, and when it expires.
+pub(super) fn request_timer(id: RequestId, deadline: Instant) -> (Instant, Timer) {
+    (deadline + DEADLINE_GRACE, Timer::Request(id))
+}
+
+impl<T: EngineTransport> Broker<T> {
+    /// Sends a request's final response, if it has had none.
+    pub(super) fn respond(&mut self, id: RequestId, response: Response) {
+        let Some(sender) = self.requests.take_response(id) else { return };
+        debug!(self.log, "responded"; "trace" => self.requests.trace_text(id),
+            "rejected" => matches!(response, Response::Rejected { .. }),
+            "served" => matches!(response, Response::Served(_)));
+        match &response {
+            Response::Served(_) => self.counters.served += 1,
+            Response::Rejected { .. } => {
+                self.counters.rejected += 1;
+                self.refund_if_never_run(id);
+            }
+            Response::Failed(_) => self.counters.failed += 1,
+        }
+        if let Some(idempotency) = &mut self.idempotency {
+            let rows = match &response {
+                Response::Served(rows) => Some(rows),
+                _ => None,
+            };
+            idempotency.on_request_ended(id, rows);
+        }
+        // A client that has just disconnected takes no response; none is owed to it.
+        let _ = sender.send(response);
+    }
+
+    /// Gives a rejected request's charge back. A rejection says that a retry is harmless, not that no engine has
+    /// worked on the request, so what may have run stays charged.
+    fn refund_if_never_run(&mut self, id: RequestId) {
+        let Some(open) = self.requests.get_mut(id) else { return };
+        if open.may_have_run || !open.in_flight.is_empty() {
+            return;
+        }
+        if let Some(charge) = open.charge.take() {
+            self.refund(&charge);
+        }
+    }
+
+    /// Gives back what was charged for a request that never ran.
+    pub(super) fn refund(&self, charge: &Charge) {
+        if let Some(contracts) = &self.contracts {
+            contracts.refund(charge);
+        }
+    }
+
+    /// Rejects a request that may send nothing more where nothing of it can have run, and fails it otherwise.
+    pub(super) fn end_unsendable(&mut self, id: RequestId) {
+        let response = self.rejection_or(id, Failure::Engine);
+        self.respond(id, response);
+        self.pending.push(Event::Left(id));
+        self.remove_if_complete(id);
+    }
+
+    /// A rejection where the idempotency tracker knows that a retry is harmless; else this failure.
+    pub(super) fn rejection_or(&self, id: RequestId, failure: Failure) -> Response {
+        let tracker = self.idempotency.as_ref();
+        if tracker.is_some_and(|idempotency| idempotency.is_retry_harmless(id)) {
+            return Response::Rejected { reason: Rejection::Busy, retry_after: self.limits.retry_after };
+        }
+        Response::Failed(failure)
+    }
+
+    /// A request's client has disconnected.
+    pub(super) fn on_disconnect(&mut self, id: RequestId) {
+        if self.requests.take_response(id).is_none() {
+            return;
+        }
+        self.counters.disconnected += 1;
+        debug!(self.log, "client disconnected"; "trace" => self.requests.trace_text(id));
+        // Even where engines allow no cancellation, an attempt that has not been written yet is withdrawn.
+        for attempt in self.requests.in_flight(id) {
+            if let Some(attempt) = self.attempts.get(attempt.id) {
+                attempt.cancelled.cancel();
+            }
+        }
+        if let Some(idempotency) = &mut self.idempotency {
+            idempotency.on_request_ended(id, None);
+        }
+        self.pending.push(Event::Left(id));
+        self.remove_if_complete(id);
+    }
+
+    /// Removes a request that has its response and nothing in flight.
+    pub(super) fn remove_if_complete(&mut self, id: RequestId) {
+        if let Some(open) = self.requests.remove_if_complete(id) {
+            let (at, timer) = request_timer(id, open.request.deadline);
+            self.timers.disarm(at, timer);
+        }
+    }
+
+    /// Moves all later deadlines to `end`.
+    pub(super) fn shorten_deadlines(&mut self, end: Instant) {
+        for (id, open) in self.requests.with_deadline_after(end) {
+            let (at, timer) = request_timer(id, open.request.deadline);
+            self.timers.disarm(at, timer);
+            open.request.deadline = end;
+            let (at, timer) = request_timer(id, end);
+            self.timers.arm(at, timer);
+        }
+    }
+
+    /// Ends whatever has passed its deadline, and requests whose clients disconnected without an event.
+    pub(super) fn expire(&mut self, now: Instant) {
+        if self.next_disconnect_scan <= now {
+            self.next_disconnect_scan = now + DISCONNECT_SCAN_INTERVAL;
+            for id in self.requests.disconnected() {
+                self.on_disconnect(id);
+            }
+        }
+        while let Some(timer) = self.timers.pop_expired(now) {
+            match timer {
+                Timer::Attempt(attempt) => self.cancel_attempt(attempt, Outcome::TimedOut),
+                Timer::Request(id) => self.on_request_timeout(id),
+            }
+        }
+        if self.wake_at.is_some_and(|wake_at| wake_at <= now) {
+            self.wake_at = None;
+            self.pending.push(Event::Woken);
+            self.context.figures.set_unavailable(self.scheduler.avoided());
+            self.report(now);
+        }
+    }
+
+    fn on_request_timeout(&mut self, id: RequestId) {
+        if self.requests.is_unanswered(id) {
+            self.respond(id, Response::Failed(Failure::Deadline));
+            self.pending.push(Event::Left(id));
+            self.remove_if_complete(id);
+        }
+        // No further attempt can follow: nothing waits for the confirmation of a cancellation any more.
+        for attempt in self.requests.in_flight(id).to_vec() {
+            if let Some(outcome) = self.attempts.cancelling_outcome(attempt.id) {
+                self.on_attempt_ended(attempt.id, outcome.into());
+            }
+        }
+    }
+
+    /// Logs the counters, and leaves what was observed of the engines for other gateways.
+    fn report(&mut self, now: Instant) {
+        let (open_requests, in_flight) = (self.requests.len(), self.attempts.len());
+        if !self.report.tick(self.counters, open_requests, in_flight, now, &self.log) {
+            return;
+        }
+        if let Some(gossip) = &self.context.gossip {
+            gossip.observations.send_replace(self.scheduler.views().collect());
+        }
+    }
+}
--- a/gateway/src/console/mod.rs
+++ b/gateway/src/console/mod.rs
@@ -4,6 +4,7 @@
 pub mod line;
 
 use crate::figures::Figures;
+use crate::health::Health;
 use crate::members::Members;
 use bytes::BytesMut;
 use line::{BadLine, Call};
@@ -11,7 +12,6 @@
 use std::collections::VecDeque;
 use std::fmt::Write;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -48,26 +48,6 @@
     if answer.is_empty() { Err(std::io::ErrorKind::UnexpectedEof.into()) } else { Ok(answer) }
 }
 
-/// Whether this process takes clients: it is open, and nothing holds it back on its way into service.
-#[derive(Clone, Debug, Default)]
-pub struct Health(Arc<(AtomicBool, AtomicBool)>);
-
-impl Health {
-    /// Says so from now on, or not any more.
-    pub fn set(&self, serving: bool) {
-        self.0.0.store(serving, Ordering::Release);
-    }
-
-    /// It turns everybody away still, or not any more.
-    pub fn hold(&self, held: bool) {
-        self.0.1.store(held, Ordering::Release);
-    }
-
-    fn serving(&self) -> bool {
-        self.0.0.load(Ordering::Acquire) && !self.0.1.load(Ordering::Acquire)
-    }
-}
-
 /// What the console answers from.
 #[derive(Debug)]
 pub struct Console {
@@ -200,7 +180,7 @@
 
     async fn answer(&self, call: Call) -> String {
         match call {
-            Call::Health if self.health.serving() => "SUCCESS\n".into(),
+            Call::Health if self.health.is_serving() => "SUCCESS\n".into(),
             Call::Health => failure(&"this process takes no clients"),
             Call::Dump => {
                 let mut text = self.figures.text();
--- a/gateway/src/contracts.rs
+++ b/gateway/src/contracts.rs
@@ -1,7 +1,7 @@
 //! Contracts: which team may ask for which classes, and how much in a window. Checked by the broker before the
 //! decision module sees a request.
 
-use crate::broker::Refusal;
+use crate::message::{Charge, QuotaDecision, QuotaRequest, Rejection};
 use crate::store::link::Link;
 use crate::store::unix_ms;
 use reedwalk_core::ClassId;
@@ -77,29 +77,6 @@
     }
 }
 
-/// What a covered request costs, to be spent before it goes on.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Due {
-    team: Arc<str>,
-    amount: u64,
-}
-
-/// What was paid for a request, and in which window.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Paid {
-    due: Due,
-    window: u64,
-}
-
-/// Whether a request may go on.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It may; this was paid.
-    Admitted(Paid),
-    /// Its team has spent its budget; the next window begins after this.
-    Spent(Duration),
-}
-
 /// All contracts, and where they are counted.
 pub struct Contracts {
     by_team: HashMap<Arc<str>, Account>,
@@ -158,30 +135,34 @@
     ///
     /// # Errors
     /// Where no contract covers it.
-    pub fn cover(&self, team: Option<&str>, class: ClassId) -> Result<Due, Refusal> {
-        let (team, account) = team.and_then(|t| self.by_team.get_key_value(t)).ok_or(Refusal::Contract)?;
-        let amount = *account.costs.get(&class).ok_or(Refusal::Contract)?;
-        Ok(Due { team: team.clone(), amount })
+    pub fn cover(&self, team: Option<&str>, class: ClassId) -> Result<QuotaRequest, Rejection> {
+        let (team, account) = team.and_then(|t| self.by_team.get_key_value(t)).ok_or(Rejection::Contract)?;
+        let amount = *account.costs.get(&class).ok_or(Rejection::Contract)?;
+        Ok(QuotaRequest { team: team.clone(), amount })
     }
 
-    /// Spends what is due: out of what is leased here, or, where the shared store is slow or gone, out of this front
+    /// Spends what is request: out of what is leased here, or, where the shared store is slow or gone, out of this front
     /// end's own part.
-    pub async fn spend(self: &Arc<Self>, due: &Due) -> Verdict {
-        let Some(account) = self.by_team.get(&due.team) else { return Verdict::Spent(Duration::ZERO) };
+    pub async fn spend(self: &Arc<Self>, request: &QuotaRequest) -> QuotaDecision {
+        let Some(account) = self.by_team.get(&request.team) else {
+            return QuotaDecision::Exhausted(Duration::ZERO);
+        };
         let now = Instant::now();
         let by = now + self.link.as_ref().map_or(Duration::ZERO, |l| l.terms().wait);
         let mut usable = self.link.is_some();
         loop {
             let now = Instant::now();
             let (window, left) = account.window();
-            let spent = account.purse().spend(due.amount, usable && now < by, now.into_std());
+            let spent = account.purse().spend(request.amount, usable && now < by, now.into_std());
             match spent {
                 Spend::Granted => {
-                    self.lease_ahead(due, account);
-                    return Verdict::Admitted(Paid { due: due.clone(), window });
+                    self.lease_ahead(request, account);
+                    return QuotaDecision::Admitted(Charge { request: request.clone(), window });
+                }
+                Spend::Denied => return QuotaDecision::Exhausted(left),
+                Spend::Lease(wanted) => {
+                    usable = self.lease(&request.team, account, request.amount, wanted, by).await
                 }
-                Spend::Denied => return Verdict::Spent(left),
-                Spend::Lease(wanted) => usable = self.lease(&due.team, account, due.amount, wanted, by).await,
             }
         }
     }
@@ -207,11 +188,11 @@
     }
 
     /// Leases before there is need, so that requests find units here.
-    fn lease_ahead(self: &Arc<Self>, due: &Due, account: &Account) {
+    fn lease_ahead(self: &Arc<Self>, request: &QuotaRequest, account: &Account) {
         let Some(link) = &self.link else { return };
         let ahead = account.purse().ahead(Instant::now().into_std());
         let (Some(wanted), true) = (ahead, account.leasing.try_lock().is_ok()) else { return };
-        let (contracts, team, by) = (self.clone(), due.team.clone(), Instant::now() + link.terms().wait);
+        let (contracts, team, by) = (self.clone(), request.team.clone(), Instant::now() + link.terms().wait);
         tokio::spawn(async move {
             if let Some(account) = contracts.by_team.get(&team) {
                 // All that is here may be needed before it comes: this is as good as a request for it.
@@ -221,9 +202,9 @@
     }
 
     /// What was paid for a request that never ran.
-    pub fn refund(&self, paid: &Paid) {
-        if let Some(account) = self.by_team.get(&paid.due.team) {
-            account.purse().refund(paid.window, paid.due.amount);
+    pub fn refund(&self, charge: &Charge) {
+        if let Some(account) = self.by_team.get(&charge.request.team) {
+            account.purse().refund(charge.window, charge.request.amount);
         }
     }
 
--- a/gateway/src/engine/flight/call.rs
+++ b/gateway/src/engine/flight/call.rs
@@ -1,10 +1,11 @@
 //! One attempt at a Flight SQL engine: the calls it makes and what their ends mean.
 
-use crate::broker::{End, Input, Native, News, Order, Rows};
+use crate::drain_guard::DrainGuard;
 use crate::engine::pool::Heard;
-use crate::engine::{Gate, RESULT_MOST, read_load};
+use crate::engine::{RESULT_MOST, read_load};
 use crate::figures::Figures;
 use crate::flight_meta as meta;
+use crate::message::{AttemptEvent, AttemptRequest, AttemptResult, BrokerEvent, Rows, WireNative};
 use arrow_array::{Array, RecordBatch, StringArray};
 use arrow_cast::cast;
 use arrow_flight::decode::FlightRecordBatchStream;
@@ -49,8 +50,8 @@
 pub struct Call {
     client: FlightServiceClient<Channel>,
     heard: Arc<Heard>,
-    gate: Gate,
-    order: Order,
+    drain_guard: DrainGuard,
+    attempt: AttemptRequest,
     class: String,
     figures: Arc<Figures>,
     /// A call was made, and its connection did not fail to come up.
@@ -71,46 +72,46 @@
     pub fn new(
         channel: Channel,
         heard: Arc<Heard>,
-        gate: Gate,
-        order: Order,
+        drain_guard: DrainGuard,
+        attempt: AttemptRequest,
         class: String,
         figures: Arc<Figures>,
     ) -> Self {
         let client = FlightServiceClient::new(channel).max_decoding_message_size(MESSAGE_MOST);
-        Self { client, heard, gate, order, class, figures, made: false }
+        Self { client, heard, drain_guard, attempt, class, figures, made: false }
     }
 
     /// Makes the calls and tells the broker how they ended.
-    pub async fn run(mut self, queue: mpsc::Sender<Input>) {
-        let key = self.order.key;
-        let told = if self.order.update { self.update().await } else { self.query().await };
+    pub async fn run(mut self, queue: mpsc::Sender<BrokerEvent>) {
+        let key = self.attempt.id;
+        let told = if self.attempt.update { self.update().await } else { self.query().await };
         let end = match told {
             Ok((metadata, rows)) => {
                 let (bill, load) = (read_bill(&metadata), report(&metadata));
-                End { outcome: Outcome::Ok, bill, load, rows: Some(rows) }
+                AttemptResult { outcome: Outcome::Ok, bill, load, rows: Some(rows) }
             }
             Err(Broken::Unusable) => Outcome::Error.into(),
             Err(Broken::Shut) => Outcome::Moot.into(),
             Err(Broken::Status(status, begun)) => {
                 let load = report(status.metadata());
-                End { outcome: outcome(&status, begun), bill: None, load, rows: None }
+                AttemptResult { outcome: outcome(&status, begun), bill: None, load, rows: None }
             }
         };
         self.made &= end.outcome != Outcome::ConnectFailed;
-        let _ = queue.send(Input::News(key, News::Ended(end))).await;
+        let _ = queue.send(BrokerEvent::Attempt { id: key, event: AttemptEvent::Ended(end) }).await;
     }
 
     fn request<T>(&self, message: T) -> Request<T> {
-        let order = &self.order;
+        let attempt = &self.attempt;
         let mut request = Request::new(message);
-        request.set_timeout(order.deadline.saturating_duration_since(Instant::now()));
+        request.set_timeout(attempt.deadline.saturating_duration_since(Instant::now()));
         let number = |n: f64| n.to_string();
         let fields = [
             (meta::CLASS, Some(self.class.clone())),
-            (meta::TRACE, String::from_utf8(order.trace.to_vec()).ok()),
-            (meta::KEY, order.nonce.as_ref().and_then(|n| String::from_utf8(n.to_vec()).ok())),
-            (meta::MEMORY, order.memory_mb.map(number)),
-            (meta::PRIORITY, Some(order.priority.to_string())),
+            (meta::TRACE, String::from_utf8(attempt.trace_id.to_vec()).ok()),
+            (meta::KEY, attempt.idempotency_key.as_ref().and_then(|n| String::from_utf8(n.to_vec()).ok())),
+            (meta::MEMORY, attempt.memory_mb.map(number)),
+            (meta::PRIORITY, Some(attempt.priority.to_string())),
         ];
         for (name, value) in fields {
             if let Some(value) = value.and_then(|v| v.parse().ok()) {
@@ -123,7 +124,10 @@
     /// Looked at last before anything goes out that runs.
     fn may_begin(&mut self) -> Result<(), Broken> {
         let now = Instant::now();
-        if !self.gate.open(now) || now >= self.order.write_by || self.order.cancelled.is_cancelled() {
+        if !self.drain_guard.is_open(now)
+            || now >= self.attempt.write_deadline
+            || self.attempt.cancelled.is_cancelled()
+        {
             return Err(Broken::Shut);
         }
         self.made = true;
@@ -131,7 +135,7 @@
     }
 
     fn statement(&self) -> Result<String, Broken> {
-        String::from_utf8(self.order.statement.to_vec()).map_err(|_| Broken::Unusable)
+        String::from_utf8(self.attempt.statement.to_vec()).map_err(|_| Broken::Unusable)
     }
 
     /// GetFlightInfo, then DoGet for each of its endpoints; whole before anything is passed on.
@@ -247,6 +251,6 @@
     if size > RESULT_MOST {
         return Err(Broken::Unusable);
     }
-    rows.native = Native(Some(Arc::new(batches)));
+    rows.native = WireNative(Some(Arc::new(batches)));
     Ok(rows)
 }
--- a/gateway/src/engine/flight/mod.rs
+++ b/gateway/src/engine/flight/mod.rs
@@ -1,13 +1,13 @@
-//! Links to engines over Arrow Flight SQL. Each attempt is a task that holds a call on a multiplexed channel;
+//! Transport to engines over Arrow Flight SQL. Each attempt is a task that holds a call on a multiplexed channel;
 //! giving it up drops the call, which resets its stream.
 
 mod call;
 
-use super::Gate;
 use super::pool::{Handle, Heard, Pool};
-use crate::broker::{AttemptKey, EngineLinks, Input, Order};
 use crate::cores::{Cores, Seat};
+use crate::drain_guard::DrainGuard;
 use crate::figures::Figures;
+use crate::message::{AttemptId, AttemptRequest, BrokerEvent, EngineAddress, EngineTransport};
 use hyper_util::rt::TokioIo;
 use reedwalk_core::EngineId;
 use reedwalk_settings::Sockets;
@@ -35,21 +35,21 @@
 }
 
 /// All links of this front end to its engines.
-pub struct Links {
+pub struct Transport {
     pool: Pool<Connection>,
-    tasks: HashMap<AttemptKey, AbortHandle>,
+    tasks: HashMap<AttemptId, AbortHandle>,
     sockets: Arc<Sockets>,
-    queue: mpsc::Sender<Input>,
+    queue: mpsc::Sender<BrokerEvent>,
     figures: Arc<Figures>,
     cores: Cores,
 }
 
-impl Links {
-    /// Links that report to the broker's queue, on at most so many connections.
+impl Transport {
+    /// Transport that report to the broker's queue, on at most so many connections.
     pub fn new(
         sockets: Arc<Sockets>,
         connections_most: usize,
-        queue: mpsc::Sender<Input>,
+        queue: mpsc::Sender<BrokerEvent>,
         figures: Arc<Figures>,
         cores: Cores,
     ) -> Self {
@@ -65,14 +65,14 @@
 }
 
 /// A channel that connects with its first call, and gives that up at an instant counted from then.
-fn channel(address: SocketAddr, heard: Arc<Heard>, gate: Gate, within: Duration) -> Channel {
+fn channel(address: SocketAddr, heard: Arc<Heard>, drain_guard: DrainGuard, within: Duration) -> Channel {
     let connect = move |_: Uri| {
-        let (by, heard, gate) = (Instant::now() + within, heard.clone(), gate.clone());
+        let (by, heard, drain_guard) = (Instant::now() + within, heard.clone(), drain_guard.clone());
         async move {
             let stream = timeout_at(by, TcpStream::connect(address)).await??;
             stream.set_nodelay(true)?;
             heard.now();
-            if !gate.open(Instant::now()) {
+            if !drain_guard.is_open(Instant::now()) {
                 // Its engine takes nothing new, or another has its address by now.
                 return Err(std::io::ErrorKind::ConnectionRefused.into());
             }
@@ -83,46 +83,46 @@
     Endpoint::from_static("http://engine").connect_with_connector_lazy(tower::service_fn(connect))
 }
 
-impl EngineLinks for Links {
-    fn place(&mut self, engine: EngineId, place: Option<(SocketAddr, Gate)>) {
-        self.pool.place(engine, place);
+impl EngineTransport for Transport {
+    fn set_endpoint(&mut self, engine: EngineId, address: Option<EngineAddress>) {
+        self.pool.set_endpoint(engine, address);
     }
 
-    fn start(&mut self, order: Order, now: Instant) -> bool {
+    fn start(&mut self, attempt: AttemptRequest, now: Instant) -> bool {
         let within = self.sockets.connect_within;
         let cores = &self.cores;
-        let picked = self.pool.pick(&order, now, |address, heard, gate| {
+        let picked = self.pool.pick(&attempt, now, |address, heard, drain_guard| {
             let seat = cores.seat();
             // The channel's own task is started with it.
-            let channel = seat.within(|| channel(address, heard, gate.clone(), within));
+            let channel = seat.within(|| channel(address, heard, drain_guard.clone(), within));
             Connection { channel, seat }
         });
-        let Some((connection, heard, gate)) = picked else { return false };
-        let class = self.sockets.classes.get(order.class.0).cloned().unwrap_or_default();
-        let key = order.key;
+        let Some((connection, heard, drain_guard)) = picked else { return false };
+        let class = self.sockets.classes.get(attempt.class.0).cloned().unwrap_or_default();
+        let id = attempt.id;
         let (channel, figures) = (connection.channel.clone(), self.figures.clone());
-        let call = call::Call::new(channel, heard.clone(), gate.clone(), order, class, figures);
+        let call = call::Call::new(channel, heard.clone(), drain_guard.clone(), attempt, class, figures);
         let queue = self.queue.clone();
         let task = connection.seat.spawn(async move { call.run(queue).await });
-        self.tasks.insert(key, task);
+        self.tasks.insert(id, task);
         true
     }
 
-    fn stop(&mut self, key: AttemptKey) -> bool {
-        self.tasks.remove(&key).into_iter().for_each(|t| t.abort());
-        self.pool.release(key, true);
+    fn cancel(&mut self, id: AttemptId) -> bool {
+        self.tasks.remove(&id).into_iter().for_each(|t| t.abort());
+        self.pool.release(id, true);
         false
     }
 
     /// Flight SQL has no word for the priority of what already runs: it holds from the next attempt on.
-    fn boost(&mut self, _: AttemptKey, _: u8) {}
+    fn set_priority(&mut self, _: AttemptId, _: u8) {}
 
-    fn over(&mut self, key: AttemptKey) {
-        self.tasks.remove(&key);
-        self.pool.release(key, false);
+    fn release(&mut self, id: AttemptId) {
+        self.tasks.remove(&id);
+        self.pool.release(id, false);
     }
 
-    fn share(&mut self, share: f64) {
-        self.pool.share(share);
+    fn set_capacity_share(&mut self, share: f64) {
+        self.pool.set_capacity_share(share);
     }
 }
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -1,11 +1,9 @@
 //! Links to the engines.
 
 pub mod flight;
-mod gate;
 mod pool;
 pub mod resp;
 
-pub use gate::{Gate, Gates};
 use reedwalk_core::LoadReport;
 
 /// Bytes of one result at most.
--- a/gateway/src/engine/pool.rs
+++ b/gateway/src/engine/pool.rs
@@ -1,7 +1,7 @@
 //! Which connection an attempt goes on, whatever the wire: engines by id, their connections, what is out there.
 
-use super::Gate;
-use crate::broker::{AttemptKey, Order};
+use crate::drain_guard::DrainGuard;
+use crate::message::{AttemptId, AttemptRequest, EngineAddress};
 use bytes::Bytes;
 use reedwalk_core::EngineId;
 use reedwalk_settings::Sockets;
@@ -67,9 +67,9 @@
     handle: C,
     peer: SocketAddr,
     /// The stay in service that it was opened in; it serves no other.
-    gate: Gate,
+    drain_guard: DrainGuard,
     /// What is out: its id, and when the wait for it ends.
-    open: HashMap<AttemptKey, (Bytes, Instant)>,
+    open: HashMap<AttemptId, (Bytes, Instant)>,
     /// Ids that may not be used until then.
     spent: VecDeque<(Instant, Bytes)>,
     /// Ids that were answered then, the latest last.
@@ -80,14 +80,14 @@
 
 struct Engine<C> {
     address: Option<SocketAddr>,
-    gate: Gate,
+    drain_guard: DrainGuard,
     connections: HashMap<u64, Connection<C>>,
 }
 
 /// All connections to all engines.
 pub struct Pool<C> {
     engines: HashMap<EngineId, Engine<C>>,
-    attempts: HashMap<AttemptKey, (EngineId, u64)>,
+    attempts: HashMap<AttemptId, (EngineId, u64)>,
     next: u64,
     sockets: Arc<Sockets>,
     connections_most: usize,
@@ -97,8 +97,8 @@
 
 impl<C> Connection<C> {
     /// Is it a connection to this address, of this stay in service?
-    fn serves(&self, address: Option<SocketAddr>, gate: &Gate) -> bool {
-        address == Some(self.peer) && self.gate.same(gate)
+    fn serves(&self, address: Option<SocketAddr>, drain_guard: &DrainGuard) -> bool {
+        address == Some(self.peer) && self.drain_guard.is_same(drain_guard)
     }
 
     fn idle(&self, sockets: &Sockets, now: Instant) -> bool {
@@ -147,22 +147,25 @@
     }
 
     /// From now on this share of the connections may be held, to each engine and to all of them.
-    pub fn share(&mut self, share: f64) {
+    pub fn set_capacity_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// Takes in where an engine listens, and its gate; `None` when it is gone.
-    pub fn place(&mut self, id: EngineId, place: Option<(SocketAddr, Gate)>) {
-        let none = || Engine { address: None, gate: Gate::default(), connections: HashMap::new() };
+    /// Takes in where an engine listens, and its drain guard; `None` when it is gone.
+    pub fn set_endpoint(&mut self, id: EngineId, target: Option<EngineAddress>) {
+        let none =
+            || Engine { address: None, drain_guard: DrainGuard::default(), connections: HashMap::new() };
         let engine = self.engines.entry(id).or_insert_with(none);
-        let address = place.as_ref().map(|p| p.0);
-        if let Some((_, gate)) = place {
-            engine.gate = gate;
+        let address = target.as_ref().map(|target| target.address);
+        if let Some(target) = target {
+            engine.drain_guard = target.drain_guard;
         }
         engine.address = address;
         // What is out on the old connections may still be answered there; new attempts go elsewhere.
-        let (gate, now) = (&engine.gate, Instant::now());
-        engine.connections.retain(|_, l| !l.open.is_empty() || l.serves(address, gate) && gate.open(now));
+        let (drain_guard, now) = (&engine.drain_guard, Instant::now());
+        engine
+            .connections
+            .retain(|_, l| !l.open.is_empty() || l.serves(address, drain_guard) && drain_guard.is_open(now));
         if address.is_none() && engine.connections.is_empty() {
             self.engines.remove(&id);
         }
@@ -171,33 +174,42 @@
     /// The connection for an attempt, opened if need be; `None` if the engine is not there or has no room.
     pub fn pick(
         &mut self,
-        order: &Order,
+        attempt: &AttemptRequest,
         now: Instant,
-        open: impl FnOnce(SocketAddr, Arc<Heard>, &Gate) -> C,
-    ) -> Option<(&C, &Arc<Heard>, &Gate)> {
+        open: impl FnOnce(SocketAddr, Arc<Heard>, &DrainGuard) -> C,
+    ) -> Option<(&C, &Arc<Heard>, &DrainGuard)> {
         let all: usize = self.engines.values().map(|e| e.connections.len()).sum();
-        let engine = self.engines.get_mut(&order.engine)?;
+        let engine = self.engines.get_mut(&attempt.engine)?;
         let address = engine.address?;
         let (sockets, notes) = (&self.sockets, self.notes);
         // Connections with nothing out that are idle or silent are closed here: dropping the handle closes them.
         let kept = |l: &Connection<C>| !l.handle.closed() && !l.idle(sockets, now) && !l.silent(notes, now);
         engine.connections.retain(|_, l| !l.open.is_empty() || kept(l));
-        let gate = &engine.gate;
-        let usable = engine.connections.iter_mut().filter(|l| l.1.serves(Some(address), gate));
-        let fullest = usable
-            .filter_map(|(n, l)| l.takes(&order.trace, sockets, notes, now).then_some((l.open.len(), *n)));
+        let drain_guard = &engine.drain_guard;
+        let usable = engine.connections.iter_mut().filter(|l| l.1.serves(Some(address), drain_guard));
+        let fullest = usable.filter_map(|(n, l)| {
+            l.takes(&attempt.trace_id, sockets, notes, now).then_some((l.open.len(), *n))
+        });
         let number = match fullest.max() {
             Some((_, number)) => number,
             None if within(engine.connections.len(), CONNECTIONS_MOST, self.share)
                 && within(all, self.connections_most, self.share) =>
             {
                 let heard = Arc::new(Heard::new(now));
-                let handle = open(address, heard.clone(), &engine.gate);
+                let handle = open(address, heard.clone(), &engine.drain_guard);
                 let (open, spent, answered) = (HashMap::new(), VecDeque::new(), VecDeque::new());
                 self.next += 1;
-                let gate = engine.gate.clone();
-                let connection =
-                    Connection { handle, peer: address, gate, open, spent, answered, heard, used: now };
+                let drain_guard = engine.drain_guard.clone();
+                let connection = Connection {
+                    handle,
+                    peer: address,
+                    drain_guard,
+                    open,
+                    spent,
+                    answered,
+                    heard,
+                    used: now,
+                };
                 engine.connections.insert(self.next, connection);
                 self.next
             }
@@ -207,19 +219,19 @@
         if connection.open.is_empty() {
             connection.used = now;
         }
-        connection.open.insert(order.key, (order.trace.clone(), order.deadline));
-        self.attempts.insert(order.key, (order.engine, number));
-        Some((&connection.handle, &connection.heard, &engine.gate))
+        connection.open.insert(attempt.id, (attempt.trace_id.clone(), attempt.deadline));
+        self.attempts.insert(attempt.id, (attempt.engine, number));
+        Some((&connection.handle, &connection.heard, &engine.drain_guard))
     }
 
     /// The connection that an attempt is out on.
-    pub fn find(&self, key: AttemptKey) -> Option<&C> {
+    pub fn find(&self, key: AttemptId) -> Option<&C> {
         let (engine, number) = self.attempts.get(&key)?;
         Some(&self.engines.get(engine)?.connections.get(number)?.handle)
     }
 
     /// An attempt is out no more. One that was given up casts doubt on its connection until it is heard again.
-    pub fn release(&mut self, key: AttemptKey, given_up: bool) {
+    pub fn release(&mut self, key: AttemptId, given_up: bool) {
         let Some((id, number)) = self.attempts.remove(&key) else { return };
         let Some(engine) = self.engines.get_mut(&id) else { return };
         if let Some(connection) = engine.connections.get_mut(&number)
@@ -237,7 +249,7 @@
                 }
             }
             if connection.open.is_empty()
-                && (connection.handle.closed() || !connection.serves(engine.address, &engine.gate))
+                && (connection.handle.closed() || !connection.serves(engine.address, &engine.drain_guard))
             {
                 engine.connections.remove(&number);
             }
--- a/gateway/src/engine/pool/tests.rs
+++ b/gateway/src/engine/pool/tests.rs
@@ -13,16 +13,16 @@
 
 const ENGINE: EngineId = EngineId(3);
 
-fn order(key: u64, trace: &str, now: Instant) -> Order {
-    Order {
-        key: AttemptKey(key),
+fn attempt(key: u64, trace: &str, now: Instant) -> AttemptRequest {
+    AttemptRequest {
+        id: AttemptId(key),
         engine: ENGINE,
-        trace: Bytes::copy_from_slice(trace.as_bytes()),
+        trace_id: Bytes::copy_from_slice(trace.as_bytes()),
         class: ClassId(0),
         deadline: now + Duration::from_secs(60),
-        write_by: now + Duration::from_secs(60),
+        write_deadline: now + Duration::from_secs(60),
         cancelled: Default::default(),
-        nonce: None,
+        idempotency_key: None,
         memory_mb: None,
         priority: 1,
         update: false,
@@ -48,13 +48,16 @@
         second_copies: true,
     };
     let mut pool = Pool::new(Arc::new(sockets), 3, notes);
-    pool.place(ENGINE, Some((([127, 0, 0, 1], 1).into(), Gate::default())));
+    pool.set_endpoint(
+        ENGINE,
+        Some(EngineAddress { address: ([127, 0, 0, 1], 1).into(), drain_guard: DrainGuard::default() }),
+    );
     pool
 }
 
 /// Whether an attempt found its engine, and the connections that were opened so far.
 fn pick(pool: &mut Pool<Fake>, key: u64, trace: &str, now: Instant) -> (bool, u64) {
-    let found = pool.pick(&order(key, trace, now), now, |_, _, _| Fake).is_some();
+    let found = pool.pick(&attempt(key, trace, now), now, |_, _, _| Fake).is_some();
     (found, pool.next)
 }
 
@@ -77,7 +80,7 @@
         .map(|(t, k)| pick(&mut pool, k, t, now).0)
         .collect();
     assert_eq!(found, [true, true, true, true, true, true, false]);
-    pool.release(AttemptKey(0), false);
+    pool.release(AttemptId(0), false);
     assert!(pick(&mut pool, 7, "h", now).0);
 }
 
@@ -85,7 +88,7 @@
 fn an_id_that_is_out_or_was_given_up_does_not_share_its_connection() {
     let (mut pool, now) = (pool(NOTES), Instant::now());
     assert_eq!(pick(&mut pool, 0, "a", now), (true, 1));
-    pool.release(AttemptKey(0), true);
+    pool.release(AttemptId(0), true);
     assert_eq!(pick(&mut pool, 1, "a", now), (true, 2), "an answer that crossed the KILL would be its own");
     assert_eq!(pick(&mut pool, 2, "b", now).1, 2);
 }
@@ -100,7 +103,7 @@
     assert_eq!(pick(&mut told, 1, "b", now + later), (true, 2));
     assert_eq!(pick(&mut untold, 1, "b", now + later), (true, 1), "a long query is no silence");
     // A given-up attempt with nothing heard since leaves its connection in doubt in either case.
-    untold.release(AttemptKey(1), true);
+    untold.release(AttemptId(1), true);
     assert_eq!(pick(&mut untold, 2, "c", now + later), (true, 2));
 }
 
@@ -108,7 +111,7 @@
 fn a_connection_about_to_be_closed_as_idle_is_not_used() {
     let (mut pool, now) = (pool(NOTES), Instant::now());
     assert_eq!(pick(&mut pool, 0, "a", now), (true, 1));
-    pool.release(AttemptKey(0), false);
+    pool.release(AttemptId(0), false);
     assert_eq!(pick(&mut pool, 1, "b", now + Duration::from_millis(14_500)), (true, 2));
 }
 
@@ -116,10 +119,10 @@
 fn an_engine_that_is_gone_takes_nothing_and_is_forgotten_when_its_work_has_ended() {
     let (mut pool, now) = (pool(NOTES), Instant::now());
     assert_eq!(pick(&mut pool, 0, "a", now), (true, 1));
-    pool.place(ENGINE, None);
+    pool.set_endpoint(ENGINE, None);
     assert!(!pick(&mut pool, 1, "b", now).0);
-    assert!(pool.find(AttemptKey(0)).is_some(), "what is out may still be answered");
-    pool.release(AttemptKey(0), false);
+    assert!(pool.find(AttemptId(0)).is_some(), "what is out may still be answered");
+    pool.release(AttemptId(0), false);
     assert!(pool.engines.is_empty() && pool.attempts.is_empty());
 }
 
@@ -132,7 +135,7 @@
 fn an_id_that_was_given_up_stays_spent_for_as_long_as_its_request_may_last() {
     let (mut pool, now) = (pool(None), Instant::now());
     assert_eq!(pick(&mut pool, 0, "a", now), (true, 1));
-    pool.release(AttemptKey(0), true);
+    pool.release(AttemptId(0), true);
     heard(&pool);
     // Its request has 60 s, and an answer of the first attempt may come in all of them.
     assert_eq!(pick(&mut pool, 1, "b", now + Duration::from_secs(6)), (true, 1), "others share it");
@@ -143,10 +146,10 @@
 fn an_id_that_was_answered_is_not_used_at_once_on_its_connection() {
     let (mut pool, now) = (pool(NOTES), Instant::now());
     assert_eq!(pick(&mut pool, 0, "a", now), (true, 1));
-    pool.release(AttemptKey(0), false);
+    pool.release(AttemptId(0), false);
     assert_eq!(pick(&mut pool, 1, "b", now), (true, 1), "others share it");
     assert_eq!(pick(&mut pool, 2, "a", now), (true, 2), "a second copy of the answer would be its own");
-    pool.release(AttemptKey(2), false);
+    pool.release(AttemptId(2), false);
     let later = Instant::now() + ANSWERED_FOR;
     heard(&pool);
     assert_eq!(pick(&mut pool, 3, "a", later).1, 2, "no copy comes so late");
@@ -157,12 +160,12 @@
     let (mut pool, now) = (pool(None), Instant::now());
     for key in 0..SPENT_MOST as u64 {
         assert_eq!(pick(&mut pool, key, &format!("a{key}"), now), (true, 1));
-        pool.release(AttemptKey(key), true);
+        pool.release(AttemptId(key), true);
     }
     assert_eq!(pick(&mut pool, 9_000, "b", now), (true, 2), "the first takes no more");
     for key in 10_000..10_000 + 2 * ANSWERED_MOST as u64 {
         assert_eq!(pick(&mut pool, key, &format!("c{key}"), now), (true, 2));
-        pool.release(AttemptKey(key), false);
+        pool.release(AttemptId(key), false);
     }
     assert!(pool.engines[&ENGINE].connections.values().all(|l| l.answered.len() <= ANSWERED_MOST));
 }
@@ -171,9 +174,9 @@
 fn connections_are_used_again_however_short_they_may_be_idle() {
     let (mut pool, now) = (kept_for(Duration::from_millis(800), NOTES), Instant::now());
     assert_eq!(pick(&mut pool, 0, "a", now), (true, 1));
-    pool.release(AttemptKey(0), false);
+    pool.release(AttemptId(0), false);
     let used = Instant::now();
     assert_eq!(pick(&mut pool, 1, "b", used + Duration::from_millis(300)), (true, 1));
-    pool.release(AttemptKey(1), false);
+    pool.release(AttemptId(1), false);
     assert_eq!(pick(&mut pool, 2, "c", used + Duration::from_millis(1500)), (true, 2), "closed by now");
 }
--- a/gateway/src/engine/resp/connection.rs
+++ b/gateway/src/engine/resp/connection.rs
@@ -2,10 +2,11 @@
 
 use super::outgoing::{Outgoing, Written};
 use super::wire::{self, BadAnswer, PAGES_MOST, Reply, Word};
-use crate::broker::{AttemptKey, End, Input, News, Order, Rows};
+use crate::drain_guard::DrainGuard;
+use crate::engine::RESULT_MOST;
 use crate::engine::pool::Heard;
-use crate::engine::{Gate, RESULT_MOST};
 use crate::figures::Figures;
+use crate::message::{AttemptEvent, AttemptId, AttemptRequest, AttemptResult, BrokerEvent, Rows};
 use bytes::{Bytes, BytesMut};
 use reedwalk_core::Outcome;
 use reedwalk_settings::Sockets;
@@ -28,16 +29,16 @@
 /// What a connection's task is told.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Start an attempt, if its engine's gate is open when its turn to be written comes.
-    Start(Box<Order>, Gate),
+    /// Start an attempt, if its engine's drain guard is open when its turn to be written comes.
+    Start(Box<AttemptRequest>, DrainGuard),
     /// Give it up.
-    Stop(AttemptKey),
+    Stop(AttemptId),
     /// Change its priority.
-    Boost(AttemptKey, u8),
+    Boost(AttemptId, u8),
 }
 
 struct Attempt {
-    key: AttemptKey,
+    key: AttemptId,
     /// Its command is whole on the wire.
     sent: bool,
     /// The first answer, and the pages that have come.
@@ -57,14 +58,14 @@
     peer: SocketAddr,
     heard: Arc<Heard>,
     sockets: Arc<Sockets>,
-    queue: mpsc::Sender<Input>,
+    queue: mpsc::Sender<BrokerEvent>,
     figures: Arc<Figures>,
     commands: mpsc::Receiver<Command>,
     by_id: HashMap<Bytes, Attempt>,
-    ids: HashMap<AttemptKey, Bytes>,
+    ids: HashMap<AttemptId, Bytes>,
     out: Outgoing,
     /// Given up, and the engine has not been told so yet.
-    stopping: HashSet<AttemptKey>,
+    stopping: HashSet<AttemptId>,
 }
 
 impl Task {
@@ -72,7 +73,7 @@
         peer: SocketAddr,
         heard: Arc<Heard>,
         sockets: Arc<Sockets>,
-        queue: mpsc::Sender<Input>,
+        queue: mpsc::Sender<BrokerEvent>,
         figures: Arc<Figures>,
         commands: mpsc::Receiver<Command>,
     ) -> Self {
@@ -91,15 +92,15 @@
         }
     }
 
-    async fn tell(&self, key: AttemptKey, news: News) {
+    async fn tell(&self, key: AttemptId, news: AttemptEvent) {
         // The broker never waits for a connection, so waiting for it here can't lock up.
-        let _ = self.queue.send(Input::News(key, news)).await;
+        let _ = self.queue.send(BrokerEvent::Attempt { id: key, event: news }).await;
     }
 
-    async fn end(&mut self, id: &Bytes, end: End) {
+    async fn end(&mut self, id: &Bytes, end: AttemptResult) {
         if let Some(attempt) = self.by_id.remove(id) {
             self.ids.remove(&attempt.key);
-            self.tell(attempt.key, News::Ended(end)).await;
+            self.tell(attempt.key, AttemptEvent::Ended(end)).await;
         }
     }
 
@@ -119,7 +120,7 @@
         self.commands.close();
         while let Some(command) = self.commands.recv().await {
             match command {
-                Command::Start(order, _) => self.tell(order.key, News::Ended(unsent.into())).await,
+                Command::Start(attempt, _) => self.tell(attempt.id, AttemptEvent::Ended(unsent.into())).await,
                 // It is told of below, if it was sent at all.
                 Command::Stop(key) => _ = self.stopping.insert(key),
                 Command::Boost(..) => {}
@@ -128,7 +129,7 @@
         // The connection has ended, and with it all that was open there.
         for key in std::mem::take(&mut self.stopping) {
             self.forget(key);
-            self.tell(key, News::GivenUp).await;
+            self.tell(key, AttemptEvent::CancelConfirmed).await;
         }
         // What else was out where one answer could not be read is withdrawn with the connection: the engine
         // answers for one of them, not for all.
@@ -141,7 +142,7 @@
                 Some(Over::Spoilt { .. }) if std::mem::replace(&mut answered_for, true) => Outcome::Cancelled,
                 _ => Outcome::Reset,
             };
-            self.tell(attempt.key, News::Ended(outcome.into())).await;
+            self.tell(attempt.key, AttemptEvent::Ended(outcome.into())).await;
         }
     }
 
@@ -231,7 +232,7 @@
     }
 
     /// An attempt was withdrawn before it was written; it never ran.
-    async fn unsent(&mut self, key: AttemptKey) {
+    async fn unsent(&mut self, key: AttemptId) {
         if let Some(id) = self.ids.get(&key).cloned() {
             self.end(&id, Outcome::Moot.into()).await;
         }
@@ -247,14 +248,14 @@
                 }
                 Written::Stop(key) => {
                     self.stopping.remove(&key);
-                    self.tell(key, News::GivenUp).await;
+                    self.tell(key, AttemptEvent::CancelConfirmed).await;
                 }
             }
         }
     }
 
     /// Nothing of an attempt is wanted any more; its id, and whether its first answer had come.
-    fn forget(&mut self, key: AttemptKey) -> Option<(Bytes, bool)> {
+    fn forget(&mut self, key: AttemptId) -> Option<(Bytes, bool)> {
         let id = self.ids.remove(&key)?;
         let served = self.by_id.remove(&id).is_some_and(|a| a.served.is_some());
         Some((id, served))
@@ -262,17 +263,17 @@
 
     async fn command(&mut self, command: Command) {
         match command {
-            Command::Start(order, gate) => {
-                let lane = self.sockets.classes.get(order.class.0).map_or("", String::as_str);
-                self.out.start(&order, gate, lane, Instant::now());
-                self.ids.insert(order.key, order.trace.clone());
-                self.by_id.insert(order.trace, Attempt { key: order.key, sent: false, served: None });
+            Command::Start(attempt, drain_guard) => {
+                let lane = self.sockets.classes.get(attempt.class.0).map_or("", String::as_str);
+                self.out.start(&attempt, drain_guard, lane, Instant::now());
+                self.ids.insert(attempt.id, attempt.trace_id.clone());
+                self.by_id.insert(attempt.trace_id, Attempt { key: attempt.id, sent: false, served: None });
             }
             Command::Stop(key) => {
                 let Some((id, served)) = self.forget(key) else { return };
                 // What the engine has not been sent it is not sent just to be told to give it up.
                 if self.out.withdraw(key) {
-                    self.tell(key, News::GivenUp).await;
+                    self.tell(key, AttemptEvent::CancelConfirmed).await;
                 } else {
                     self.stopping.insert(key);
                     self.out.stop(key, &[if served { b"DISCARD" } else { b"KILL" }, &id]);
@@ -303,12 +304,12 @@
         let id = reply.id.clone();
         let Some(attempt) = self.by_id.get_mut(&id) else { return Ok(()) };
         let load = reply.load;
-        let failed = |outcome: Outcome| End { outcome, bill: None, load, rows: None };
+        let failed = |outcome: Outcome| AttemptResult { outcome, bill: None, load, rows: None };
         match reply.word {
             Word::Status => {
                 if let Some(note) = reply.note {
                     let key = attempt.key;
-                    self.tell(key, News::Noted(note)).await;
+                    self.tell(key, AttemptEvent::Progress(note)).await;
                 }
             }
             Word::Full => self.end(&id, failed(Outcome::Full)).await,
@@ -362,7 +363,8 @@
         if !pages.values().all(|page| wire::read_page(page, &mut rows).is_ok()) {
             return self.spoilt(id, "a page without whole rows").await;
         }
-        let end = End { outcome: Outcome::Ok, bill: first.bill, load: first.load, rows: Some(rows) };
+        let end =
+            AttemptResult { outcome: Outcome::Ok, bill: first.bill, load: first.load, rows: Some(rows) };
         if first.pages > 1 {
             self.out.put(key, &[b"DISCARD", id]);
         }
@@ -382,17 +384,22 @@
 impl Drop for Task {
     /// Where the task ends before its time, by a panic or with its core, what it had out is told all the same.
     fn drop(&mut self) {
-        let tell =
-            |key, outcome: Outcome| _ = self.queue.try_send(Input::News(key, News::Ended(outcome.into())));
+        let tell = |key, outcome: Outcome| {
+            _ = self
+                .queue
+                .try_send(BrokerEvent::Attempt { id: key, event: AttemptEvent::Ended(outcome.into()) })
+        };
         for attempt in self.by_id.values() {
             tell(attempt.key, if attempt.sent { Outcome::Reset } else { Outcome::Moot });
         }
-        let given_up = |key| _ = self.queue.try_send(Input::News(key, News::GivenUp));
+        let given_up = |key| {
+            _ = self.queue.try_send(BrokerEvent::Attempt { id: key, event: AttemptEvent::CancelConfirmed })
+        };
         self.stopping.iter().copied().for_each(given_up);
         self.commands.close();
         while let Ok(command) = self.commands.try_recv() {
             match command {
-                Command::Start(order, _) => tell(order.key, Outcome::Moot),
+                Command::Start(attempt, _) => tell(attempt.id, Outcome::Moot),
                 Command::Stop(key) => given_up(key),
                 Command::Boost(..) => {}
             }
--- a/gateway/src/engine/resp/mod.rs
+++ b/gateway/src/engine/resp/mod.rs
@@ -1,18 +1,16 @@
-//! Links to engines over RESP. Connections are tasks of their own.
+//! Transport to engines over RESP. Connections are tasks of their own.
 
 mod connection;
 mod outgoing;
 pub mod wire;
 
-use super::Gate;
 use super::pool::{Handle, Pool};
-use crate::broker::{AttemptKey, EngineLinks, Input, Order};
 use crate::cores::Cores;
 use crate::figures::Figures;
+use crate::message::{AttemptId, AttemptRequest, BrokerEvent, EngineAddress, EngineTransport};
 use connection::{Command, Task};
 use reedwalk_core::EngineId;
 use reedwalk_settings::Sockets;
-use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -28,76 +26,77 @@
 }
 
 /// All links of this front end to its engines.
-pub struct Links {
+pub struct Transport {
     pool: Pool<mpsc::Sender<Command>>,
     sockets: Arc<Sockets>,
-    queue: mpsc::Sender<Input>,
+    queue: mpsc::Sender<BrokerEvent>,
     figures: Arc<Figures>,
     cores: Cores,
 }
 
-impl Links {
-    /// Links that report to the broker's queue, on at most so many connections; `notes` is the span between two
+impl Transport {
+    /// Transport that report to the broker's queue, on at most so many connections; `notes` is the span between two
     /// notes, if there are any.
     pub fn new(
         sockets: Arc<Sockets>,
         connections_most: usize,
         notes: Option<Duration>,
-        queue: mpsc::Sender<Input>,
+        queue: mpsc::Sender<BrokerEvent>,
         figures: Arc<Figures>,
         cores: Cores,
     ) -> Self {
         Self { pool: Pool::new(sockets.clone(), connections_most, notes), sockets, queue, figures, cores }
     }
 
-    fn command(&mut self, key: AttemptKey, command: Command) {
-        if let Some(commands) = self.pool.find(key) {
+    fn command(&mut self, id: AttemptId, command: Command) {
+        if let Some(commands) = self.pool.find(id) {
             // A full line of commands belongs to a connection that stands still; nothing would arrive there.
             let _ = commands.try_send(command);
         }
     }
 }
 
-impl EngineLinks for Links {
-    fn place(&mut self, engine: EngineId, place: Option<(SocketAddr, Gate)>) {
-        self.pool.place(engine, place);
+impl EngineTransport for Transport {
+    fn set_endpoint(&mut self, engine: EngineId, address: Option<EngineAddress>) {
+        self.pool.set_endpoint(engine, address);
     }
 
-    fn start(&mut self, order: Order, now: Instant) -> bool {
+    fn start(&mut self, attempt: AttemptRequest, now: Instant) -> bool {
         let (sockets, queue, figures, cores) = (&self.sockets, &self.queue, &self.figures, &self.cores);
-        let picked = self.pool.pick(&order, now, |address, heard, _| {
+        let picked = self.pool.pick(&attempt, now, |address, heard, _| {
             let (commands, orders) = mpsc::channel(COMMANDS);
             let task = Task::new(address, heard, sockets.clone(), queue.clone(), figures.clone(), orders);
             cores.seat().spawn(task.run(now + sockets.connect_within));
             commands
         });
-        let key = order.key;
-        let sent = picked
-            .is_some_and(|(c, _, gate)| c.try_send(Command::Start(Box::new(order), gate.clone())).is_ok());
+        let id = attempt.id;
+        let sent = picked.is_some_and(|(c, _, drain_guard)| {
+            c.try_send(Command::Start(Box::new(attempt), drain_guard.clone())).is_ok()
+        });
         if !sent {
-            self.pool.release(key, false);
+            self.pool.release(id, false);
         }
         sent
     }
 
-    fn stop(&mut self, key: AttemptKey) -> bool {
+    fn cancel(&mut self, id: AttemptId) -> bool {
         // What its connection can't be told it hears of at its end.
-        let open = self.pool.find(key).is_some_and(|c| !c.is_closed());
-        self.command(key, Command::Stop(key));
-        self.pool.release(key, true);
+        let open = self.pool.find(id).is_some_and(|c| !c.is_closed());
+        self.command(id, Command::Stop(id));
+        self.pool.release(id, true);
         open
     }
 
-    fn boost(&mut self, key: AttemptKey, priority: u8) {
-        self.command(key, Command::Boost(key, priority));
+    fn set_priority(&mut self, id: AttemptId, priority: u8) {
+        self.command(id, Command::Boost(id, priority));
     }
 
-    fn over(&mut self, key: AttemptKey) {
-        self.pool.release(key, false);
+    fn release(&mut self, id: AttemptId) {
+        self.pool.release(id, false);
     }
 
-    fn share(&mut self, share: f64) {
-        self.pool.share(share);
+    fn set_capacity_share(&mut self, share: f64) {
+        self.pool.set_capacity_share(share);
     }
 }
 
--- a/gateway/src/engine/resp/outgoing.rs
+++ b/gateway/src/engine/resp/outgoing.rs
@@ -1,9 +1,9 @@
-//! What is to be written on one connection, in order. Until its first byte is out an order may be taken back: it never
+//! What is to be written on one connection, in order. Until its first byte is out an attempt may be taken back: it never
 //! ran, and whoever has given it up, or may not have it run any more, is spared that it does.
 
 use super::wire;
-use crate::broker::{AttemptKey, Order};
-use crate::engine::Gate;
+use crate::drain_guard::DrainGuard;
+use crate::message::{AttemptId, AttemptRequest};
 use bytes::{Buf, Bytes, BytesMut};
 use std::collections::VecDeque;
 use std::io::IoSlice;
@@ -13,16 +13,16 @@
 /// Commands that one write takes at most.
 const SLICES_MOST: usize = 64;
 
-/// What an order needs in order to go out.
+/// What an attempt needs in order to go out.
 struct Terms {
-    gate: Gate,
+    drain_guard: DrainGuard,
     cancelled: CancellationToken,
     write_by: Instant,
 }
 
 impl Terms {
     fn hold(&self, now: Instant) -> bool {
-        now < self.write_by && self.gate.open(now) && !self.cancelled.is_cancelled()
+        now < self.write_by && self.drain_guard.is_open(now) && !self.cancelled.is_cancelled()
     }
 }
 
@@ -36,7 +36,7 @@
 struct Command {
     bytes: Bytes,
     /// The attempt that it is about.
-    key: AttemptKey,
+    key: AttemptId,
     does: Does,
 }
 
@@ -54,9 +54,9 @@
 /// What is whole on the wire now.
 pub enum Written {
     /// The start of an attempt.
-    Start(AttemptKey),
+    Start(AttemptId),
     /// The word that it is given up.
-    Stop(AttemptKey),
+    Stop(AttemptId),
 }
 
 /// Commands in the order in which they are written.
@@ -74,29 +74,34 @@
     }
 
     /// A command that starts an attempt.
-    pub fn start(&mut self, order: &Order, gate: Gate, lane: &str, now: Instant) {
+    pub fn start(&mut self, attempt: &AttemptRequest, drain_guard: DrainGuard, lane: &str, now: Instant) {
         let mut bytes = BytesMut::new();
-        wire::put_order(&mut bytes, order, lane, now);
-        let terms = Terms { gate, cancelled: order.cancelled.clone(), write_by: order.write_by };
-        self.commands.push_back(Command { bytes: bytes.freeze(), key: order.key, does: Does::Starts(terms) });
+        wire::put_attempt(&mut bytes, attempt, lane, now);
+        let terms =
+            Terms { drain_guard, cancelled: attempt.cancelled.clone(), write_by: attempt.write_deadline };
+        self.commands.push_back(Command {
+            bytes: bytes.freeze(),
+            key: attempt.id,
+            does: Does::Starts(terms),
+        });
     }
 
     /// A command about an attempt that was started before.
-    pub fn put(&mut self, key: AttemptKey, words: &[&[u8]]) {
+    pub fn put(&mut self, key: AttemptId, words: &[&[u8]]) {
         let mut bytes = BytesMut::new();
         wire::put_array(&mut bytes, words);
         self.commands.push_back(Command { bytes: bytes.freeze(), key, does: Does::Other });
     }
 
     /// The command that gives an attempt up which was started before.
-    pub fn stop(&mut self, key: AttemptKey, words: &[&[u8]]) {
+    pub fn stop(&mut self, key: AttemptId, words: &[&[u8]]) {
         self.put(key, words);
         self.commands.back_mut().into_iter().for_each(|c| c.does = Does::Stops);
     }
 
     /// Takes an attempt's commands out, if the one that starts it is here and has not begun to be written. What has
     /// begun is another's: none of an attempt's commands stands before the one that starts it.
-    pub fn withdraw(&mut self, key: AttemptKey) -> bool {
+    pub fn withdraw(&mut self, key: AttemptId) -> bool {
         let begun = usize::from(self.begun);
         let waits = self.commands.iter().skip(begun).any(|c| c.key == key && c.starts());
         if waits {
@@ -106,7 +111,7 @@
     }
 
     /// Takes the commands of all attempts out that have not begun to be written and may not be any more.
-    pub fn withdraw_void(&mut self, now: Instant) -> Vec<AttemptKey> {
+    pub fn withdraw_void(&mut self, now: Instant) -> Vec<AttemptId> {
         let begun = usize::from(self.begun);
         let void: Vec<_> = self.commands.iter().skip(begun).filter(|c| c.void(now)).map(|c| c.key).collect();
         if !void.is_empty() {
--- a/gateway/src/engine/resp/tests.rs
+++ b/gateway/src/engine/resp/tests.rs
@@ -1,10 +1,10 @@
 //! One connection: what is written on it, and what never is.
 
 use super::connection::{Command, Task};
-use crate::broker::{AttemptKey, Input, News, Order};
-use crate::engine::Gate;
+use crate::drain_guard::DrainGuard;
 use crate::engine::pool::Heard;
 use crate::figures::Figures;
+use crate::message::{AttemptEvent, AttemptId, AttemptRequest, BrokerEvent};
 use bytes::{Bytes, BytesMut};
 use reedwalk_core::{ClassId, EngineId, Outcome};
 use reedwalk_settings::Sockets;
@@ -20,17 +20,17 @@
 const STOPPED: &str = "aaaaaaaaaaaaaaaa";
 const WANTED: &str = "bbbbbbbbbbbbbbbb";
 
-fn order(key: u64, trace: &'static str, size: usize) -> Order {
+fn attempt(key: u64, trace: &'static str, size: usize) -> AttemptRequest {
     let by = Instant::now() + Duration::from_secs(60);
-    Order {
-        key: AttemptKey(key),
+    AttemptRequest {
+        id: AttemptId(key),
         engine: EngineId(0),
-        trace: Bytes::from_static(trace.as_bytes()),
+        trace_id: Bytes::from_static(trace.as_bytes()),
         class: ClassId(0),
         deadline: by,
-        write_by: by,
+        write_deadline: by,
         cancelled: CancellationToken::new(),
-        nonce: None,
+        idempotency_key: None,
         memory_mb: None,
         priority: 1,
         update: false,
@@ -38,14 +38,14 @@
     }
 }
 
-fn start(order: &Order) -> Command {
-    Command::Start(Box::new(order.clone()), Gate::default())
+fn start(attempt: &AttemptRequest) -> Command {
+    Command::Start(Box::new(attempt.clone()), DrainGuard::default())
 }
 
 struct Link {
     listener: TcpListener,
     commands: mpsc::Sender<Command>,
-    news: mpsc::Receiver<Input>,
+    news: mpsc::Receiver<BrokerEvent>,
     task: Task,
 }
 
@@ -72,7 +72,7 @@
 
 impl Link {
     /// Lets the task connect, now that its commands have been given.
-    async fn up(self) -> (TcpStream, mpsc::Sender<Command>, mpsc::Receiver<Input>) {
+    async fn up(self) -> (TcpStream, mpsc::Sender<Command>, mpsc::Receiver<BrokerEvent>) {
         tokio::spawn(self.task.run(Instant::now() + Duration::from_secs(5)));
         (self.listener.accept().await.unwrap().0, self.commands, self.news)
     }
@@ -90,9 +90,11 @@
     }
 }
 
-async fn outcome(news: &mut mpsc::Receiver<Input>) -> (AttemptKey, Outcome) {
+async fn outcome(news: &mut mpsc::Receiver<BrokerEvent>) -> (AttemptId, Outcome) {
     loop {
-        if let Input::News(key, News::Ended(end)) = news.recv().await.expect("the connection has ended") {
+        if let BrokerEvent::Attempt { id: key, event: AttemptEvent::Ended(end) } =
+            news.recv().await.expect("the connection has ended")
+        {
             return (key, end.outcome);
         }
     }
@@ -101,10 +103,10 @@
 #[tokio::test]
 async fn an_order_given_up_while_its_connection_comes_up_is_never_written() {
     let link = link().await;
-    link.commands.try_send(start(&order(1, STOPPED, 10))).unwrap();
-    link.commands.try_send(Command::Boost(AttemptKey(1), 2)).unwrap();
-    link.commands.try_send(Command::Stop(AttemptKey(1))).unwrap();
-    link.commands.try_send(start(&order(2, WANTED, 10))).unwrap();
+    link.commands.try_send(start(&attempt(1, STOPPED, 10))).unwrap();
+    link.commands.try_send(Command::Boost(AttemptId(1), 2)).unwrap();
+    link.commands.try_send(Command::Stop(AttemptId(1))).unwrap();
+    link.commands.try_send(start(&attempt(2, WANTED, 10))).unwrap();
     let (mut engine, _commands, _news) = link.up().await;
     let text = read_until(&mut engine, WANTED).await;
     assert!(!text.contains(STOPPED), "sent on after its end: {text}");
@@ -113,10 +115,10 @@
 #[tokio::test]
 async fn the_same_where_the_word_came_after_the_order_had_gone_out_is_a_kill() {
     let link = link().await;
-    link.commands.try_send(start(&order(1, STOPPED, 10))).unwrap();
+    link.commands.try_send(start(&attempt(1, STOPPED, 10))).unwrap();
     let (mut engine, commands, _news) = link.up().await;
     read_until(&mut engine, STOPPED).await;
-    commands.try_send(Command::Stop(AttemptKey(1))).unwrap();
+    commands.try_send(Command::Stop(AttemptId(1))).unwrap();
     let text = read_until(&mut engine, STOPPED).await;
     assert!(text.contains("KILL"), "{text}");
 }
@@ -124,32 +126,34 @@
 #[tokio::test]
 async fn what_its_client_has_left_is_not_written_though_no_word_of_it_has_come() {
     let link = link().await;
-    let left = order(1, STOPPED, 10);
+    let left = attempt(1, STOPPED, 10);
     link.commands.try_send(start(&left)).unwrap();
-    link.commands.try_send(start(&order(2, WANTED, 10))).unwrap();
+    link.commands.try_send(start(&attempt(2, WANTED, 10))).unwrap();
     left.cancelled.cancel();
     let (mut engine, _commands, mut news) = link.up().await;
     let text = read_until(&mut engine, WANTED).await;
     assert!(!text.contains(STOPPED), "sent on for nobody: {text}");
-    assert_eq!(outcome(&mut news).await, (AttemptKey(1), Outcome::Moot), "it surely never ran");
+    assert_eq!(outcome(&mut news).await, (AttemptId(1), Outcome::Moot), "it surely never ran");
 }
 
 #[tokio::test]
 async fn an_order_whose_time_to_be_written_is_over_is_not() {
     let link = link().await;
-    let late = Order { write_by: Instant::now(), ..order(1, STOPPED, 10) };
+    let late = AttemptRequest { write_deadline: Instant::now(), ..attempt(1, STOPPED, 10) };
     link.commands.try_send(start(&late)).unwrap();
-    link.commands.try_send(start(&order(2, WANTED, 10))).unwrap();
+    link.commands.try_send(start(&attempt(2, WANTED, 10))).unwrap();
     let (mut engine, _commands, mut news) = link.up().await;
     let text = read_until(&mut engine, WANTED).await;
     assert!(!text.contains(STOPPED), "written after its window: {text}");
-    assert_eq!(outcome(&mut news).await, (AttemptKey(1), Outcome::Moot));
+    assert_eq!(outcome(&mut news).await, (AttemptId(1), Outcome::Moot));
 }
 
 /// The attempt that is next told of as given up.
-async fn given_up(news: &mut mpsc::Receiver<Input>) -> AttemptKey {
+async fn given_up(news: &mut mpsc::Receiver<BrokerEvent>) -> AttemptId {
     loop {
-        if let Input::News(key, News::GivenUp) = news.recv().await.expect("the connection has ended") {
+        if let BrokerEvent::Attempt { id: key, event: AttemptEvent::CancelConfirmed } =
+            news.recv().await.expect("the connection has ended")
+        {
             return key;
         }
     }
@@ -159,45 +163,45 @@
 async fn an_attempt_counts_as_given_up_once_its_engine_has_been_told() {
     const LARGE: usize = 64 << 20;
     let link = link().await;
-    link.commands.try_send(start(&order(1, STOPPED, 10))).unwrap();
-    link.commands.try_send(start(&order(2, WANTED, LARGE))).unwrap();
+    link.commands.try_send(start(&attempt(1, STOPPED, 10))).unwrap();
+    link.commands.try_send(start(&attempt(2, WANTED, LARGE))).unwrap();
     let (mut engine, commands, mut news) = link.up().await;
     // The first is whole on the wire; of the second, behind it, no socket holds all.
     read_until(&mut engine, STOPPED).await;
-    commands.try_send(Command::Stop(AttemptKey(1))).unwrap();
+    commands.try_send(Command::Stop(AttemptId(1))).unwrap();
     let quiet =
         tokio::time::timeout_at(Instant::now() + Duration::from_millis(200), given_up(&mut news)).await;
     assert!(quiet.is_err(), "its KILL still waits for room");
     read_until(&mut engine, "KILL").await;
-    assert_eq!(given_up(&mut news).await, AttemptKey(1));
+    assert_eq!(given_up(&mut news).await, AttemptId(1));
 }
 
 #[tokio::test]
 async fn it_does_at_once_where_it_was_never_sent_and_where_its_connection_ends() {
     let link = link().await;
-    link.commands.try_send(start(&order(1, STOPPED, 10))).unwrap();
-    link.commands.try_send(Command::Stop(AttemptKey(1))).unwrap();
-    link.commands.try_send(start(&order(2, WANTED, 64 << 20))).unwrap();
+    link.commands.try_send(start(&attempt(1, STOPPED, 10))).unwrap();
+    link.commands.try_send(Command::Stop(AttemptId(1))).unwrap();
+    link.commands.try_send(start(&attempt(2, WANTED, 64 << 20))).unwrap();
     let (mut engine, commands, mut news) = link.up().await;
-    assert_eq!(given_up(&mut news).await, AttemptKey(1));
+    assert_eq!(given_up(&mut news).await, AttemptId(1));
     read_until(&mut engine, WANTED).await;
-    commands.try_send(Command::Stop(AttemptKey(2))).unwrap();
+    commands.try_send(Command::Stop(AttemptId(2))).unwrap();
     drop(engine);
-    assert_eq!(given_up(&mut news).await, AttemptKey(2));
+    assert_eq!(given_up(&mut news).await, AttemptId(2));
 }
 
 #[tokio::test]
 async fn an_order_that_has_begun_to_be_written_is_written_whole_and_then_killed() {
     const LARGE: usize = 64 << 20;
     let link = link().await;
-    link.commands.try_send(start(&order(1, STOPPED, LARGE))).unwrap();
-    link.commands.try_send(start(&order(2, "cccccccccccccccc", 10))).unwrap();
+    link.commands.try_send(start(&attempt(1, STOPPED, LARGE))).unwrap();
+    link.commands.try_send(start(&attempt(2, "cccccccccccccccc", 10))).unwrap();
     let (mut engine, commands, _news) = link.up().await;
     // Its first bytes are here, and no socket holds all of it.
     assert!(engine.read_u8().await.unwrap() == b'*');
-    commands.try_send(Command::Stop(AttemptKey(1))).unwrap();
-    commands.try_send(Command::Stop(AttemptKey(2))).unwrap();
-    commands.try_send(start(&order(3, WANTED, 10))).unwrap();
+    commands.try_send(Command::Stop(AttemptId(1))).unwrap();
+    commands.try_send(Command::Stop(AttemptId(2))).unwrap();
+    commands.try_send(start(&attempt(3, WANTED, 10))).unwrap();
     let text = read_until(&mut engine, WANTED).await;
     assert!(text.contains("KILL") && text.len() > LARGE, "{} bytes", text.len());
     assert!(!text.contains("cccccccccccccccc"), "what stood behind it had not begun");
@@ -210,19 +214,19 @@
     let closed = engine.into_std().unwrap();
     // Both lie there when the task next runs: it has no turn between these lines.
     drop(closed);
-    commands.try_send(start(&order(1, STOPPED, 10))).unwrap();
-    assert_eq!(outcome(&mut news).await, (AttemptKey(1), Outcome::Moot));
+    commands.try_send(start(&attempt(1, STOPPED, 10))).unwrap();
+    assert_eq!(outcome(&mut news).await, (AttemptId(1), Outcome::Moot));
 }
 
 #[tokio::test]
 async fn a_whole_answer_is_taken_though_commands_keep_coming() {
     let link = link().await;
-    link.commands.try_send(start(&order(1, WANTED, 10))).unwrap();
+    link.commands.try_send(start(&attempt(1, WANTED, 10))).unwrap();
     let (mut engine, commands, mut news) = link.up().await;
     read_until(&mut engine, WANTED).await;
     let flood = commands.clone();
     let flood = tokio::spawn(async move {
-        while flood.send(Command::Boost(AttemptKey(1), 1)).await.is_ok() {
+        while flood.send(Command::Boost(AttemptId(1), 1)).await.is_ok() {
             tokio::task::yield_now().await;
         }
     });
@@ -236,6 +240,6 @@
     });
     let answer = format!("*4\r\n$16\r\n{WANTED}\r\n$3\r\n200\r\n$7\r\ntotal=1\r\n$6\r\na\tb\tc\n\r\n");
     writer.write_all(answer.as_bytes()).await.unwrap();
-    assert_eq!(outcome(&mut news).await, (AttemptKey(1), Outcome::Ok));
+    assert_eq!(outcome(&mut news).await, (AttemptId(1), Outcome::Ok));
     flood.abort();
 }
--- a/gateway/src/engine/resp/wire.rs
+++ b/gateway/src/engine/resp/wire.rs
@@ -1,6 +1,6 @@
 //! The engines' wire: RESP arrays of bulk strings, their fields and pages. Pure functions over bytes.
 
-use crate::broker::{Order, Rows};
+use crate::message::{AttemptRequest, Rows};
 use bytes::{Bytes, BytesMut};
 use reedwalk_core::{Bill, LoadReport, Note};
 use std::fmt;
@@ -78,18 +78,18 @@
 }
 
 /// Writes the command that starts an attempt.
-pub fn put_order(out: &mut BytesMut, order: &Order, lane: &str, now: Instant) {
-    let ttl = order.deadline.saturating_duration_since(now).as_millis();
-    let mut fields = format!("lane={lane},ttl={ttl},band={}", order.priority);
-    if let Some(memory) = order.memory_mb.filter(|m| *m > 0.0) {
+pub fn put_attempt(out: &mut BytesMut, attempt: &AttemptRequest, lane: &str, now: Instant) {
+    let ttl = attempt.deadline.saturating_duration_since(now).as_millis();
+    let mut fields = format!("lane={lane},ttl={ttl},band={}", attempt.priority);
+    if let Some(memory) = attempt.memory_mb.filter(|m| *m > 0.0) {
         fields.push_str(&format!(",pool={}", memory.ceil()));
     }
     let mut fields = fields.into_bytes();
-    if let Some(nonce) = &order.nonce {
+    if let Some(idempotency_key) = &attempt.idempotency_key {
         fields.extend_from_slice(b",dedupe=");
-        fields.extend_from_slice(nonce);
+        fields.extend_from_slice(idempotency_key);
     }
-    put_array(out, &[b"PULL", &order.trace, &fields, &order.statement]);
+    put_array(out, &[b"PULL", &attempt.trace_id, &fields, &attempt.statement]);
 }
 
 /// The word of an answer.
--- a/gateway/src/figures.rs
+++ b/gateway/src/figures.rs
@@ -1,7 +1,7 @@
 //! What the front end reports of itself: atomics, written where a thing is known and read without waiting for
 //! anybody. Counts start at 0 with the process.
 
-use crate::broker::Answer;
+use crate::message::Response;
 use reedwalk_core::ClassId;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,12 +20,12 @@
     Left,
 }
 
-impl From<&Answer> for Ending {
-    fn from(answer: &Answer) -> Self {
-        match answer {
-            Answer::Served(_) => Self::Completed,
-            Answer::Refused { .. } => Self::Rejected,
-            Answer::Failed(_) => Self::Failed,
+impl From<&Response> for Ending {
+    fn from(response: &Response) -> Self {
+        match response {
+            Response::Served(_) => Self::Completed,
+            Response::Rejected { .. } => Self::Rejected,
+            Response::Failed(_) => Self::Failed,
         }
     }
 }
--- a/gateway/src/front/flight/mod.rs
+++ b/gateway/src/front/flight/mod.rs
@@ -5,7 +5,7 @@
 mod service;
 mod ticket;
 
-use crate::broker::Intake;
+use crate::broker::RequestQueue;
 use crate::cores::Cores;
 use crate::front::accepted_already;
 use crate::operator::FlightFront;
@@ -115,8 +115,8 @@
 }
 
 impl Service {
-    /// A service that hands its requests in at `intake`.
-    pub fn new(intake: Intake, deployment: Arc<Deployment>, seed: u64) -> Self {
-        Self { intake, deployment, tickets: Arc::new(ticket::Tickets::new(seed)) }
+    /// A service that hands its requests in at `request_queue`.
+    pub fn new(request_queue: RequestQueue, deployment: Arc<Deployment>, seed: u64) -> Self {
+        Self { request_queue, deployment, tickets: Arc::new(ticket::Tickets::new(seed)) }
     }
 }
--- a/gateway/src/front/flight/result.rs
+++ b/gateway/src/front/flight/result.rs
@@ -1,6 +1,6 @@
 //! Answers as gRPC has them: rows as record batches, refusals and failures as statuses.
 
-use crate::broker::{Failure, Refusal, Rows};
+use crate::message::{Failure, Rejection, Rows};
 use arrow_array::{ArrayRef, BinaryArray, RecordBatch, StringArray};
 use arrow_schema::{ArrowError, DataType, Field, Schema, SchemaRef};
 use std::sync::Arc;
@@ -38,19 +38,23 @@
 }
 
 /// The reason's name in an error's details; the same for both fronts.
-pub fn refusal_name(why: Refusal) -> &'static str {
-    match why {
-        Refusal::Busy => "BUSY",
-        Refusal::Shed => "SHED",
-        Refusal::Budget => "BUDGET",
-        Refusal::Contract => "CONTRACT",
+pub fn rejection_name(reason: Rejection) -> &'static str {
+    match reason {
+        Rejection::Busy => "BUSY",
+        Rejection::Shed => "SHED",
+        Rejection::Budget => "BUDGET",
+        Rejection::Contract => "CONTRACT",
     }
 }
 
 /// A refusal: trying again is harmless, after the time that the details tell.
-pub fn refused(why: Refusal, retry_after: Option<Duration>) -> Status {
+pub fn rejected(reason: Rejection, retry_after: Option<Duration>) -> Status {
     let mut details = ErrorDetails::new();
-    details.set_error_info(refusal_name(why), DOMAIN, std::collections::HashMap::<String, String>::new());
+    details.set_error_info(
+        rejection_name(reason),
+        DOMAIN,
+        std::collections::HashMap::<String, String>::new(),
+    );
     if let Some(after) = retry_after {
         details.set_retry_info(Some(after));
     }
@@ -58,8 +62,8 @@
 }
 
 /// A failure: whether it had an effect is not known. Not UNAVAILABLE, which callers repeat unasked.
-pub fn failed(why: Failure) -> Status {
-    match why {
+pub fn failed(reason: Failure) -> Status {
+    match reason {
         Failure::Deadline => Status::deadline_exceeded("the query's time ran out"),
         Failure::IdInUse => Status::already_exists("a query with this id is open"),
         Failure::Engine => {
--- a/gateway/src/front/flight/service.rs
+++ b/gateway/src/front/flight/service.rs
@@ -2,11 +2,12 @@
 
 use super::result;
 use super::ticket::{Statement, Tickets};
-use crate::broker::{Answer, Ask, Intake, Refusal, Rows};
+use crate::broker::RequestQueue;
 use crate::figures::Ending;
 use crate::flight_meta as meta;
 use crate::front::mysql::statement::group;
 use crate::front::{MEMORY_MOST, WORK_MOST};
+use crate::message::{self, Rejection, Rows};
 use arrow_flight::encode::FlightDataEncoderBuilder;
 use arrow_flight::error::FlightError;
 use arrow_flight::flight_service_server::FlightService;
@@ -46,7 +47,7 @@
 /// The front's service; one for all connections.
 #[derive(Clone, Debug)]
 pub struct Service {
-    pub(super) intake: Intake,
+    pub(super) request_queue: RequestQueue,
     pub(super) deployment: Arc<Deployment>,
     pub(super) tickets: Arc<Tickets>,
 }
@@ -105,28 +106,30 @@
             None => self.deployment.core.classes[header.class.0].deadline,
         };
         let longest = self.deployment.core.classes[header.class.0].deadline;
-        let trace = header.trace.unwrap_or_else(|| format!("{:016x}", self.intake.fresh()));
-        let ask = Ask {
-            trace: trace.into(),
+        let trace = header.trace.unwrap_or_else(|| format!("{:016x}", self.request_queue.unique_number()));
+        let request = message::Request {
+            trace_id: trace.into(),
             class: header.class,
             team: header.team,
             deadline: now + waits.min(longest),
-            repeated: header.repeated,
-            nonce: header.key.map(Bytes::from),
+            is_retry: header.repeated,
+            idempotency_key: header.key.map(Bytes::from),
             work: header.work,
             memory_mb: header.memory_mb,
-            group: group(text.as_bytes()),
+            table_group: group(text.as_bytes()),
             update,
             statement: text.into(),
         };
-        let answer = match self.intake.ask(ask) {
-            Ok(mut ticket) => ticket.answer().await,
-            Err(refused) => Some(refused),
+        let response = match self.request_queue.submit(request) {
+            Ok(mut pending) => pending.response().await,
+            Err(rejected) => Some(rejected),
         };
-        match answer {
-            Some(Answer::Served(rows)) => Ok(rows),
-            Some(Answer::Refused { why, retry_after }) => Err(result::refused(why, retry_after)),
-            Some(Answer::Failed(why)) => Err(result::failed(why)),
+        match response {
+            Some(message::Response::Served(rows)) => Ok(rows),
+            Some(message::Response::Rejected { reason, retry_after }) => {
+                Err(result::rejected(reason, retry_after))
+            }
+            Some(message::Response::Failed(reason)) => Err(result::failed(reason)),
             None => Err(Status::internal("the broker has ended")),
         }
     }
@@ -148,8 +151,8 @@
         let class = statement.header.class;
         let handle = self.tickets.keep(statement, Instant::now());
         let handle = handle.ok_or_else(|| {
-            self.intake.turned_away(class, Ending::Rejected);
-            result::refused(Refusal::Shed, Some(TICKET_RETRY))
+            self.request_queue.count_rejected(class, Ending::Rejected);
+            result::rejected(Rejection::Shed, Some(TICKET_RETRY))
         })?;
         let ticket = TicketStatementQuery { statement_handle: Bytes::copy_from_slice(&handle) };
         let ticket = Ticket::new(ticket.as_any().encode_to_vec());
--- a/gateway/src/front/mysql/mod.rs
+++ b/gateway/src/front/mysql/mod.rs
@@ -6,7 +6,7 @@
 mod session;
 pub mod statement;
 
-use crate::broker::Intake;
+use crate::broker::RequestQueue;
 use crate::config::Limits;
 use crate::contracts::Contracts;
 use crate::cores::Cores;
@@ -70,7 +70,7 @@
 
 /// What all sessions share.
 pub struct Front {
-    intake: Intake,
+    request_queue: RequestQueue,
     deployment: Arc<Deployment>,
     contracts: Option<Arc<Contracts>>,
     places: Arc<Places>,
@@ -83,9 +83,9 @@
 }
 
 impl Front {
-    /// A front that hands its requests in at `intake` and keeps to these limits.
+    /// A front that hands its requests in at `request_queue` and keeps to these limits.
     pub fn new(
-        intake: Intake,
+        request_queue: RequestQueue,
         deployment: Arc<Deployment>,
         contracts: Option<Arc<Contracts>>,
         limits: &Limits,
@@ -99,7 +99,18 @@
         let running = Running::default();
         let turned_away = (limits.sockets as f64 * TURNED_AWAY_SHARE).max(1.0) as usize;
         let turned_away = Arc::new(Semaphore::new(turned_away));
-        Self { intake, deployment, contracts, places, sessions, running, turned_away, seed, cores, log }
+        Self {
+            request_queue,
+            deployment,
+            contracts,
+            places,
+            sessions,
+            running,
+            turned_away,
+            seed,
+            cores,
+            log,
+        }
     }
 
     /// Accepts sessions until the phase tells it to close, as many as this process's part allows. `alive` is held by
--- a/gateway/src/front/mysql/packet.rs
+++ b/gateway/src/front/mysql/packet.rs
@@ -1,6 +1,6 @@
 //! The MySQL client protocol 4.1, as far as it is spoken here: pure functions over bytes.
 
-use crate::broker::Rows;
+use crate::message::Rows;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::fmt;
 
--- a/gateway/src/front/mysql/session.rs
+++ b/gateway/src/front/mysql/session.rs
@@ -5,8 +5,9 @@
 use super::packet::{self, BadFraming, Command, Writer};
 use super::places::{Place, Room, Stage};
 use super::statement::{self, BadFields};
-use crate::broker::{Answer, Ask, Failure, Refusal, Ticket};
+use crate::broker::PendingResponse;
 use crate::figures::Ending;
+use crate::message::{Failure, Rejection, Request, Response};
 use crate::shutdown::{Phase, closed_to};
 use bytes::{Bytes, BytesMut};
 use reedwalk_core::{ClassId, Effect};
@@ -196,36 +197,36 @@
             Writer::new(&mut self.out, 1).ok(0);
             return Ok(());
         }
-        let ask = match self.ask(&text, now) {
-            Ok(ask) => ask,
+        let request = match self.read_request(&text, now) {
+            Ok(request) => request,
             Err(bad) => {
                 Writer::new(&mut self.out, 1).error(1064, b"42000", &bad.to_string());
                 return Ok(());
             }
         };
         self.asked = true;
-        let deadline = ask.deadline;
-        let mut ticket = match self.front.intake.ask(ask) {
-            Ok(ticket) => ticket,
-            Err(refused) => {
-                write_answer(&mut self.out, refused);
+        let deadline = request.deadline;
+        let mut pending = match self.front.request_queue.submit(request) {
+            Ok(pending) => pending,
+            Err(rejected) => {
+                write_response(&mut self.out, rejected);
                 return Ok(());
             }
         };
-        let answer = self.wait(&mut ticket, deadline + UNJUDGED).await;
+        let answer = self.wait(&mut pending, deadline + UNJUDGED).await;
         self.front.running.leave(self.id);
         if let Err(Closed::Framing(_)) = &answer {
-            ticket.fail(Failure::Engine);
+            pending.fail(Failure::Engine);
         }
         match answer? {
-            Some(answer) => write_answer(&mut self.out, answer),
+            Some(answer) => write_response(&mut self.out, answer),
             None => Writer::new(&mut self.out, 1).error(1317, b"70100", "query execution was interrupted"),
         }
         self.flush(deadline.max(now) + READ_BY).await
     }
 
     /// Waits for the answer; `None` if the query was killed. A client that closes meanwhile has left.
-    async fn wait(&mut self, ticket: &mut Ticket, by: Instant) -> Result<Option<Answer>, Closed> {
+    async fn wait(&mut self, pending: &mut PendingResponse, by: Instant) -> Result<Option<Response>, Closed> {
         let apart = self.front.cores.several();
         let mut killed = self.front.running.enter(self.id);
         loop {
@@ -234,12 +235,12 @@
             }
             tokio::select! {
                 biased;
-                answer = ticket.answer() => return answer.map(Some).ok_or(Closed::ByUs),
+                answer = pending.response() => return answer.map(Some).ok_or(Closed::ByUs),
                 kill = &mut killed => if kill.is_ok() {
-                    ticket.fail(Failure::Engine);
+                    pending.fail(Failure::Engine);
                     return Ok(None);
                 },
-                () = sleep_until(by), if apart => return Ok(Some(ticket.fail(Failure::Deadline))),
+                () = sleep_until(by), if apart => return Ok(Some(pending.fail(Failure::Deadline))),
                 read = self.stream.read_buf(&mut self.input) => {
                     if !matches!(read, Ok(n) if n > 0) {
                         return Err(Closed::ByClient);
@@ -250,7 +251,7 @@
     }
 
     /// Reads a statement and its fields into a request, its deadline counted from `now`.
-    fn ask(&self, text: &Bytes, now: Instant) -> Result<Ask, BadFields> {
+    fn read_request(&self, text: &Bytes, now: Instant) -> Result<Request, BadFields> {
         let (fields, statement) = statement::take_fields(text)?;
         let sockets = &self.front.deployment.sockets;
         let Some(class) = sockets.classes.iter().position(|c| *c == fields.route) else {
@@ -259,20 +260,20 @@
         let keyed = matches!(self.front.deployment.core.classes[class].effect, Effect::Keyed { .. });
         if keyed && fields.nonce.is_none() {
             // Without its key a repeat would have a second effect.
-            self.front.intake.turned_away(ClassId(class), Ending::Failed);
+            self.front.request_queue.count_rejected(ClassId(class), Ending::Failed);
             return Err(BadFields::Absent("nonce"));
         }
         let patience = Duration::from_millis(fields.patience_ms);
-        Ok(Ask {
-            trace: fields.trace.into(),
+        Ok(Request {
+            trace_id: fields.trace.into(),
             class: ClassId(class),
             team: Some(self.team.clone()),
             deadline: now + patience.min(self.front.deployment.core.classes[class].deadline),
-            repeated: fields.redo,
-            nonce: fields.nonce.map(Bytes::from),
+            is_retry: fields.redo,
+            idempotency_key: fields.nonce.map(Bytes::from),
             work: fields.weight_ms.map(|ms| Duration::from_micros((ms * 1000.0).min(1e15) as u64)),
             memory_mb: fields.space_mb,
-            group: statement::group(&statement),
+            table_group: statement::group(&statement),
             update: self.front.deployment.core.classes[class].is_load,
             statement,
         })
@@ -305,25 +306,25 @@
 }
 
 /// Writes the final answer. Refusals bear codes that clients take for "try again", failures any other.
-fn write_answer(out: &mut BytesMut, answer: Answer) {
+fn write_response(out: &mut BytesMut, response: Response) {
     let mut writer = Writer::new(out, 1);
-    match answer {
-        Answer::Served(rows) => match rows.changed {
+    match response {
+        Response::Served(rows) => match rows.changed {
             Some(changed) => writer.ok(changed.max(0) as u64),
             None => writer.rows(&rows),
         },
-        Answer::Refused { why, retry_after } => {
-            let (code, state, text) = match why {
-                Refusal::Busy => (1203, b"42000", "all engines are busy"),
-                Refusal::Shed => (1040, b"08004", "too many requests are open"),
-                Refusal::Budget => (1226, b"42000", "the team's budget for this window is spent"),
-                Refusal::Contract => (1226, b"42000", "the team's contract does not cover this class"),
+        Response::Rejected { reason, retry_after } => {
+            let (code, state, text) = match reason {
+                Rejection::Busy => (1203, b"42000", "all engines are busy"),
+                Rejection::Shed => (1040, b"08004", "too many requests are open"),
+                Rejection::Budget => (1226, b"42000", "the team's budget for this window is spent"),
+                Rejection::Contract => (1226, b"42000", "the team's contract does not cover this class"),
             };
             let pause = retry_after.map_or(String::new(), |r| format!(", pause={}", r.as_millis()));
             writer.error(code, state, &format!("{text}{pause}"));
         }
-        Answer::Failed(Failure::Engine) => writer.error(1105, b"HY000", "no engine could serve the query"),
-        Answer::Failed(Failure::Deadline) => writer.error(3024, b"HY000", "the query's time ran out"),
-        Answer::Failed(Failure::IdInUse) => writer.error(1062, b"23000", "a query with this id is open"),
+        Response::Failed(Failure::Engine) => writer.error(1105, b"HY000", "no engine could serve the query"),
+        Response::Failed(Failure::Deadline) => writer.error(3024, b"HY000", "the query's time ran out"),
+        Response::Failed(Failure::IdInUse) => writer.error(1062, b"23000", "a query with this id is open"),
     }
 }
--- a/gateway/src/members/mod.rs
+++ b/gateway/src/members/mod.rs
@@ -1,11 +1,11 @@
-//! Who is in the pool: the name server's list, and above it the operators' word. One lock owns both, with the gates,
+//! Who is in the pool: the name server's list, and above it the operators' word. One lock owns both, with the drain_guards,
 //! and is never held across a wait, so that an operator's call is answered whatever the broker does.
 
 pub mod keep;
 
-use crate::broker::{Listed, Roll};
-use crate::engine::Gates;
+use crate::drain_guard::DrainGuards;
 use crate::figures::Figures;
+use crate::message::{Endpoint, EndpointMailbox, EndpointUpdate};
 use crate::names::dns;
 use crate::names::list::Book;
 use keep::{Keep, KeepError};
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 struct Inner {
     book: Book,
-    gates: Gates,
+    drain_guards: DrainGuards,
     hand: Hand,
 }
 
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug)]
 pub struct Members {
     inner: Arc<Mutex<Inner>>,
-    roll: Roll,
+    endpoints: EndpointMailbox,
     figures: Arc<Figures>,
     keep: Option<Arc<Keep>>,
     log: Logger,
@@ -64,7 +64,7 @@
 
 impl Inner {
     /// What holds of an engine: the list's word, or the operators' above it.
-    fn holds(&self, listed: &Listed) -> (EngineEntry, bool) {
+    fn holds(&self, listed: &Endpoint) -> (EngineEntry, bool) {
         let mut entry = listed.entry.clone();
         let said = self.hand.words().find(|(name, _)| self.book.find(name) == Some(entry.engine));
         let Some((_, said)) = said else { return (entry, false) };
@@ -80,23 +80,23 @@
 }
 
 impl Members {
-    /// The owner of this list. What changes is written on `roll`; the words are kept by `keep`, if at all.
+    /// The owner of this list. What changes is written on `endpoints`; the words are kept by `keep`, if at all.
     pub fn new(
         book: Book,
-        gates: Gates,
-        roll: Roll,
+        drain_guards: DrainGuards,
+        endpoints: EndpointMailbox,
         figures: Arc<Figures>,
         keep: Option<Keep>,
         log: Logger,
     ) -> Self {
         let hand = keep.as_ref().map(|k| k.read(&log)).unwrap_or_default();
         let (out, inner) =
-            (hand.words().filter(|w| w.1.word == Word::Out).count(), Inner { book, gates, hand });
+            (hand.words().filter(|w| w.1.word == Word::Out).count(), Inner { book, drain_guards, hand });
         if out > 0 {
             info!(log, "engines out by hand, as kept"; "engines" => out);
         }
         let inner = Arc::new(Mutex::new(inner));
-        Self { inner, roll, figures, keep: keep.map(Arc::new), log }
+        Self { inner, endpoints, figures, keep: keep.map(Arc::new), log }
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
@@ -139,12 +139,12 @@
         let mut inner = self.inner();
         let changes = inner.book.take(answer);
         let changed = self.tell(&mut inner, changes);
-        self.roll.hear();
+        self.endpoints.set_discovery_answered();
         changed
     }
 
-    /// Closes and opens gates here and now; the broker reads of it when it comes to it.
-    fn tell(&self, inner: &mut Inner, changes: Vec<Listed>) -> usize {
+    /// Closes and opens drain_guards here and now; the broker reads of it when it comes to it.
+    fn tell(&self, inner: &mut Inner, changes: Vec<Endpoint>) -> usize {
         if changes.is_empty() {
             return 0;
         }
@@ -152,12 +152,12 @@
         info!(self.log, "engines"; "serial" => ?inner.book.serial(), "changed" => ?changes);
         let changes = changes.into_iter().map(|listed| {
             let (entry, out) = inner.holds(&listed);
-            let gate = inner.gates.take(&entry, out, now);
-            (Listed { entry, ..listed }, gate)
+            let drain_guard = inner.drain_guards.update(&entry, out, now);
+            EndpointUpdate { endpoint: Endpoint { entry, ..listed }, drain_guard }
         });
         let changes: Vec<_> = changes.collect();
         self.figures.set_members(inner.book.listed().count());
-        self.roll.write(changes);
+        self.endpoints.write(changes);
         count
     }
 
--- a/gateway/src/names/list.rs
+++ b/gateway/src/names/list.rs
@@ -2,7 +2,7 @@
 //! gone. Changes come out of it; nothing goes in that is older than what it holds.
 
 use super::dns;
-use crate::broker::Listed;
+use crate::message::Endpoint;
 use reedwalk_core::{CellId, EngineEntry, EngineId, EngineState, KindId, Time, ZoneId};
 use reedwalk_settings::Sockets;
 use serde::Deserialize;
@@ -56,7 +56,7 @@
     open: Option<u32>,
     ids: HashMap<String, EngineId>,
     next: u32,
-    listed: BTreeMap<EngineId, Listed>,
+    listed: BTreeMap<EngineId, Endpoint>,
 }
 
 /// Ids of engines that are not listed, remembered at most beyond as many as are.
@@ -99,12 +99,12 @@
     }
 
     /// The ids of all engines as last told, with what was told.
-    pub fn named(&self) -> impl Iterator<Item = (&str, &Listed)> {
+    pub fn named(&self) -> impl Iterator<Item = (&str, &Endpoint)> {
         self.ids.iter().filter_map(|(name, id)| Some((name.as_str(), self.listed.get(id)?)))
     }
 
     /// All engines as last told.
-    pub fn listed(&self) -> impl Iterator<Item = &Listed> {
+    pub fn listed(&self) -> impl Iterator<Item = &Endpoint> {
         self.listed.values()
     }
 
@@ -121,7 +121,7 @@
     ///
     /// # Errors
     /// Where they are not of the form that is expected.
-    pub fn start(&mut self, known: &serde_json::Value) -> Result<Vec<Listed>, serde_json::Error> {
+    pub fn start(&mut self, known: &serde_json::Value) -> Result<Vec<Endpoint>, serde_json::Error> {
         let known = Known::deserialize(known)?;
         let mut changes = Vec::new();
         for fleet in known.results.into_iter().filter_map(|i| i.fleet) {
@@ -144,7 +144,7 @@
                     state,
                     started: started(server.started_ms),
                 };
-                self.change(Listed { entry, address }, &mut changes);
+                self.change(Endpoint { entry, address }, &mut changes);
             }
             if fleet.full {
                 self.drop_others(&named, &mut changes);
@@ -158,13 +158,13 @@
     ///
     /// # Errors
     /// Where it is not of the form that is expected.
-    pub fn refresh(&mut self, known: &serde_json::Value) -> Result<Vec<Listed>, serde_json::Error> {
+    pub fn refresh(&mut self, known: &serde_json::Value) -> Result<Vec<Endpoint>, serde_json::Error> {
         let seq = Known::deserialize(known)?.seq;
         if self.serial.is_some_and(|s| !later(seq, s)) { Ok(Vec::new()) } else { self.start(known) }
     }
 
     /// Takes in an answer of the name server: the whole list. One that is no later tells nothing new.
-    pub fn take(&mut self, answer: dns::Answer) -> Vec<Listed> {
+    pub fn take(&mut self, answer: dns::Answer) -> Vec<Endpoint> {
         let mut changes = Vec::new();
         let told = self.serial.is_some_and(|s| !later(answer.serial, s));
         if told || self.open.is_some_and(|o| later(o, answer.serial)) {
@@ -193,7 +193,7 @@
                 state: if host.draining { EngineState::Draining } else { EngineState::InService },
                 started: number("started").map_or(old.and_then(|o| o.started), started),
             };
-            self.change(Listed { entry, address }, &mut changes);
+            self.change(Endpoint { entry, address }, &mut changes);
         }
         self.drop_others(&named, &mut changes);
         let place = if whole { &mut self.serial } else { &mut self.open };
@@ -201,7 +201,7 @@
         changes
     }
 
-    fn change(&mut self, listed: Listed, changes: &mut Vec<Listed>) {
+    fn change(&mut self, listed: Endpoint, changes: &mut Vec<Endpoint>) {
         let engine = listed.entry.engine;
         if self.listed.get(&engine) == Some(&listed) {
             return;
@@ -217,7 +217,7 @@
         changes.push(listed);
     }
 
-    fn drop_others(&mut self, named: &HashSet<EngineId>, changes: &mut Vec<Listed>) {
+    fn drop_others(&mut self, named: &HashSet<EngineId>, changes: &mut Vec<Endpoint>) {
         let gone: Vec<_> =
             self.listed.values().filter(|l| !named.contains(&l.entry.engine)).cloned().collect();
         for mut listed in gone {
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -1,10 +1,10 @@
 //! Front ends that know each other: the sockets around `reedwalk-peers`, which decides. Off without an operator's
 //! word, and where the settings forbid it not even a socket is opened.
 
-use crate::broker::{Finding, Found, Input};
 use crate::config::Config;
 use crate::figures::Figures;
 use crate::members::Members;
+use crate::message::{BrokerEvent, OutlierKind, OutlierReport};
 use crate::names::Source;
 use crate::operator::Fault;
 use reedwalk_core::{EngineId, Look, Time};
@@ -140,9 +140,9 @@
     /// The list of engines.
     pub members: Members,
     /// The broker.
-    pub queue: mpsc::Sender<Input>,
+    pub queue: mpsc::Sender<BrokerEvent>,
     /// What this front end finds.
-    pub findings: mpsc::Receiver<Finding>,
+    pub findings: mpsc::Receiver<OutlierReport>,
     /// How engines look to it.
     pub views: watch::Receiver<Vec<Look>>,
     /// Changes when the configuration is read again; the keys are then, too.
@@ -267,13 +267,13 @@
         }
     }
 
-    fn find(&mut self, found: Finding) {
+    fn find(&mut self, found: OutlierReport) {
         let now = self.now();
         let named = self.engines.iter().find(|e| *e.1 == found.engine).map(|e| *e.0);
-        let kind = match found.what {
-            Found::Fails => Kind::Fails,
-            Found::Silent => Kind::Silent,
-            Found::Erred => Kind::Erred,
+        let kind = match found.kind {
+            OutlierKind::Failing => Kind::Fails,
+            OutlierKind::Unresponsive => Kind::Silent,
+            OutlierKind::AttemptFailed => Kind::Erred,
         };
         let until = now + found.until.saturating_duration_since(Instant::now()).as_millis() as Millis;
         named.into_iter().for_each(|engine| self.peers.find(engine, kind, until, now));
@@ -327,7 +327,7 @@
                 let until = self.instant(belief.until);
                 if let Some(&engine) = self.engines.get(&belief.engine) {
                     info!(self.log, "others say"; "engine" => engine.0, "left alone ms" => belief.until - self.now());
-                    let _ = self.around.queue.try_send(Input::Hearsay(engine, until));
+                    let _ = self.around.queue.try_send(BrokerEvent::EjectedByGossip { engine, until });
                 }
             }
             Act::Look(view) => {
@@ -338,16 +338,18 @@
                 let input = match view {
                     View::Restarted(_, second) => {
                         info!(self.log, "others know it anew"; "engine" => engine.0, "started" => second);
-                        Input::Restarted(engine, Time(u64::from(second) * 1_000_000))
+                        BrokerEvent::EngineRestarted { engine, started: Time(u64::from(second) * 1_000_000) }
                     }
-                    View::Slow(_, slowdown) => Input::Looks(engine, slowdown),
+                    View::Slow(_, slowdown) => BrokerEvent::SlowdownObserved { engine, slowdown },
                 };
                 // Where the broker has no room it is said again by those who go on seeing it.
                 let _ = self.around.queue.try_send(input);
             }
             Act::Living(count) => self.owed = Some(count),
         }
-        if let Some(count) = self.owed.take_if(|c| self.around.queue.try_send(Input::Living(*c)).is_ok()) {
+        if let Some(count) =
+            self.owed.take_if(|c| self.around.queue.try_send(BrokerEvent::LiveGateways(*c)).is_ok())
+        {
             debug!(self.log, "reckons with"; "front ends" => count);
         }
     }
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -1,18 +1,20 @@
 //! Puts the parts together and runs them.
 
-use crate::broker::kept::Keeping;
-use crate::broker::{Beside, Broker, EngineLinks, Intake, Others, QUEUE, Roll, Shared};
+use crate::broker::{Broker, BrokerContext, BrokerOptions, QUEUE_CAPACITY, RecoverySetup, RequestQueue};
 use crate::config::{Config, ConfigError, Limits};
-use crate::console::{Console, Health};
+use crate::console::Console;
 use crate::contracts::{BadContract, Contracts};
 use crate::cores::Cores;
-use crate::engine::{Gates, flight, resp};
+use crate::drain_guard::DrainGuards;
+use crate::engine::{flight, resp};
 use crate::figures::Figures;
 use crate::front;
 use crate::front::flight::Service;
 use crate::front::mysql::Front;
+use crate::health::Health;
 use crate::members::Members;
 use crate::members::keep::Keep;
+use crate::message::{EndpointMailbox, EngineTransport, GossipHandle};
 use crate::names::{self, Source, list::Book};
 use crate::operator::{EngineWire, Fault, Operator, Store};
 use crate::peers;
@@ -166,7 +168,7 @@
     let deployment = Arc::new(deployment);
     let sockets = Arc::new(deployment.sockets.clone());
     let mut gateway = Gateway::new(deployment.core.clone(), config.seed).map_err(ServeError::Settings)?;
-    let (queue, inputs) = mpsc::channel(QUEUE);
+    let (queue, inputs) = mpsc::channel(QUEUE_CAPACITY);
     let cores = Cores::start(operator.cores).map_err(|e| ServeError::Io("cores", e))?;
     // Only a front end that operators can reach has a second process beside it, or words to keep.
     let kept = config.console.map(|_| (config.folder.clone(), stem(&config.name, config.listen)));
@@ -188,16 +190,22 @@
     let keys = link.clone().filter(|l| l.terms().share_keys);
     let (findings, found) = mpsc::channel(peers::FINDINGS);
     let (views, seen) = watch::channel(Vec::new());
-    let others = tier.is_some().then_some(Others { findings, views });
+    let others = tier.is_some().then_some(GossipHandle { outliers: findings, observations: views });
     let (phase, phases) = watch::channel(Phase::Open);
-    let (roll, part_here) = (Roll::default(), part.clone());
-    let shared =
-        Shared { roll, figures: figures.clone(), part: part_here, phase: phases.clone(), keys, others };
+    let context = BrokerContext {
+        endpoints: EndpointMailbox::default(),
+        figures: figures.clone(),
+        part: part.clone(),
+        phase: phases.clone(),
+        shared_store: keys,
+        gossip: others,
+    };
     let keep = kept.as_ref().map(|(folder, stem)| Keep::new(folder, stem));
     let members_log = log.new(o!("part" => "members"));
-    let gates = Gates::new(deployment.core.rules.drain_grace);
+    let drain_guards = DrainGuards::new(deployment.core.rules.drain_grace);
     let book = Book::new(sockets.clone());
-    let members = Members::new(book, gates, shared.roll.clone(), figures.clone(), keep, members_log);
+    let members =
+        Members::new(book, drain_guards, context.endpoints.clone(), figures.clone(), keep, members_log);
     if let Some(known) = &config.known {
         let engines = members.start(known).map_err(ServeError::Known)?;
         info!(log, "start"; "name" => &config.name, "engines" => engines, "serial" => ?members.serial());
@@ -236,7 +244,12 @@
             let classes = sockets.classes.clone();
             let writer = state::Writer { folder, owner, classes, members, figures, log };
             writer.start(written).map_err(|e| ServeError::Io("state", e))?;
-            Some(Keeping { notes, keys: memory.keys, names: asks, health: health.clone() })
+            Some(RecoverySetup {
+                persisted_events: notes,
+                keys: memory.keys,
+                has_name_server: asks,
+                health: health.clone(),
+            })
         }
         None => None,
     };
@@ -251,10 +264,10 @@
         None => None,
     };
     let connections = (config.limits.sockets as f64 * ENGINES_SHARE) as usize;
-    let links: Box<dyn EngineLinks> = match operator.engines {
+    let links: Box<dyn EngineTransport> = match operator.engines {
         EngineWire::Resp => {
             let notes = deployment.core.engine.notes_every;
-            Box::new(resp::Links::new(
+            Box::new(resp::Transport::new(
                 sockets.clone(),
                 connections,
                 notes,
@@ -265,14 +278,14 @@
         }
         EngineWire::FlightSql => {
             let (queue, figures) = (queue.clone(), figures.clone());
-            Box::new(flight::Links::new(sockets.clone(), connections, queue, figures, cores.clone()))
+            Box::new(flight::Transport::new(sockets.clone(), connections, queue, figures, cores.clone()))
         }
     };
     let broker_log = log.new(o!("part" => "broker"));
     let contracts = contracts(&operator, &deployment, link)?.map(Arc::new);
     contracts.iter().cloned().for_each(|c| _ = tokio::spawn(c.run()));
-    let beside = Beside { contracts: contracts.clone(), keeping };
-    let broker = Broker::new(gateway, links, &deployment, beside, shared, queue.clone(), broker_log);
+    let options = BrokerOptions { contracts: contracts.clone(), recovery: keeping };
+    let broker = Broker::new(gateway, links, &deployment, options, context, queue.clone(), broker_log);
     let judge = cores.judge(broker.run(inputs));
     let (judging, unjudged) = watch::channel(false);
     let judge_log = log.clone();
@@ -285,7 +298,7 @@
     let (lost, losses) = mpsc::channel(1);
     tokio::spawn(cores.clone().watch(lost, log.new(o!("part" => "cores"))));
     tokio::spawn(names::watch(sources, members, config.seed, log.new(o!("part" => "names"))));
-    let intake = Intake::new(queue, figures);
+    let request_queue = RequestQueue::new(queue, figures);
     let (alive, ended) = mpsc::channel(1);
     if second {
         // The other halves its connections first.
@@ -296,7 +309,7 @@
     let flight = match operator.flight {
         Some(front) => {
             let (listener, address) = listen(front.listen, shares)?;
-            let service = Service::new(intake.clone(), deployment.clone(), config.seed);
+            let service = Service::new(request_queue.clone(), deployment.clone(), config.seed);
             let log = log.new(o!("part" => "flight"));
             let (phases, alive) = (phases.clone(), alive.clone());
             tokio::spawn(front::flight::serve(listener, service, front, cores.clone(), phases, alive, log));
@@ -305,7 +318,7 @@
         None => None,
     };
     let front = Front::new(
-        intake,
+        request_queue,
         deployment.clone(),
         contracts,
         &config.limits,
@@ -314,7 +327,7 @@
         log.clone(),
     );
     tokio::spawn(Arc::new(front).serve(listener, phases, part.clone(), alive));
-    health.set(true);
+    health.set_serving(true);
     stage.send_replace(Stage::Serving);
     drop(alone);
     let longest = deployment.core.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
@@ -431,7 +444,7 @@
     pub async fn close(mut self, told: Instant) {
         let end = End::new(told, self.longest);
         self.phase.send_replace(Phase::Closing(end));
-        self.health.set(false);
+        self.health.set_serving(false);
         // Each session holds a sender: when all are gone, all that was taken has been answered.
         let _ = timeout_at(end.gone, self.ended.recv()).await;
     }
--- a/gateway/src/state/mod.rs
+++ b/gateway/src/state/mod.rs
@@ -4,10 +4,10 @@
 
 pub mod folder;
 
-use crate::broker::Input;
 use crate::config::Config;
 use crate::figures::Figures;
 use crate::members::Members;
+use crate::message::{BrokerEvent, PersistedEvent};
 use crate::store::unix_ms;
 use folder::Folder;
 use reedwalk_core::{ClassPace, Effect, Look};
@@ -37,15 +37,6 @@
     pub line: usize,
 }
 
-/// What is to be kept.
-#[derive(Clone, Debug)]
-pub enum Note {
-    /// A keyed request is being sent.
-    Key(KeyMemory),
-    /// What has been learned, and all keys inside their windows.
-    All(Vec<ClassPace>, Vec<Look>, Vec<KeyMemory>),
-}
-
 fn number(words: impl IntoIterator<Item = impl AsRef<[u8]>>) -> u64 {
     // A zero between words, so that no two lists of them are one.
     let bytes: Vec<_> = words.into_iter().flat_map(|w| [w.as_ref(), &[0]].concat()).collect();
@@ -92,7 +83,7 @@
 }
 
 /// What the broker is told of engines from before, as far as they are the same ones.
-pub fn engines(memory: &Memory, members: &Members, now: Millis) -> Vec<Input> {
+pub fn engines(memory: &Memory, members: &Members, now: Millis) -> Vec<BrokerEvent> {
     let (age, mut told) = (now.saturating_sub(memory.written), Vec::new());
     members.each(|name, engine, started| {
         let Some(kept) = memory.engines.iter().find(|e| e.id == name) else { return };
@@ -101,11 +92,14 @@
             Against { overtaken: kept.started != started, clock: memory.written > now, ..Against::default() };
         let prior = worth(Fact::Pace, Source::Disk, age, 0, against);
         if let (Use::Prior(weight), Some(slowdown)) = (prior, kept.slowdown) {
-            told.push(Input::Looks(engine, 1.0 + (slowdown - 1.0).max(0.0) * weight));
+            told.push(BrokerEvent::SlowdownObserved {
+                engine,
+                slowdown: 1.0 + (slowdown - 1.0).max(0.0) * weight,
+            });
         }
         let away = Duration::from_millis(kept.away_until.saturating_sub(now));
         if worth(Fact::Fails, Source::Disk, age, 0, against) == Use::Protects && !away.is_zero() {
-            told.push(Input::Hearsay(engine, Instant::now() + away));
+            told.push(BrokerEvent::EjectedByGossip { engine, until: Instant::now() + away });
         }
     });
     told
@@ -141,11 +135,11 @@
     ///
     /// # Errors
     /// Where the system gives no thread.
-    pub fn start(self, notes: mpsc::Receiver<Note>) -> std::io::Result<()> {
+    pub fn start(self, notes: mpsc::Receiver<PersistedEvent>) -> std::io::Result<()> {
         std::thread::Builder::new().name("state".into()).spawn(move || self.run(notes)).map(|_| ())
     }
 
-    fn run(mut self, mut notes: mpsc::Receiver<Note>) {
+    fn run(mut self, mut notes: mpsc::Receiver<PersistedEvent>) {
         let (mut tally, mut well, mut said) = (Tally::default(), true, false);
         let mut writes = None;
         let mut batch = Vec::new();
@@ -182,12 +176,17 @@
         }
     }
 
-    fn write(&mut self, keeper: &mut Keeper, batch: &mut Vec<Note>, tally: &mut Tally) -> Result<(), String> {
+    fn write(
+        &mut self,
+        keeper: &mut Keeper,
+        batch: &mut Vec<PersistedEvent>,
+        tally: &mut Tally,
+    ) -> Result<(), String> {
         let (mut keys, mut all) = (Vec::new(), None);
         for note in batch.drain(..) {
             match note {
-                Note::Key(key) => keys.push(key),
-                Note::All(classes, looks, inside) => all = Some((classes, looks, inside)),
+                PersistedEvent::IdempotencyKey(key) => keys.push(key),
+                PersistedEvent::Snapshot { classes, engines, keys } => all = Some((classes, engines, keys)),
             }
         }
         if let Some((classes, looks, inside)) = all {
--- a/gateway/src/store/link.rs
+++ b/gateway/src/store/link.rs
@@ -3,6 +3,7 @@
 //! moment is decided in `reedwalk-store`; this carries it out.
 
 use super::unix_ms;
+use crate::message::ClaimAnswer;
 use bytes::Bytes;
 use redis::aio::MultiplexedConnection;
 use redis::{Client, Pipeline, RedisError, Script, ScriptInvocation};
@@ -210,7 +211,7 @@
         again: bool,
         window: Duration,
         by: Instant,
-    ) -> Option<(Claimed, bool)> {
+    ) -> Option<ClaimAnswer> {
         let stage = if again { Stage::Unknown } else { Stage::Claimed };
         let mut call = self.scripts[0].prepare_invoke();
         call.key(&key[..]).key(Self::lease_of(key)).key(self.count_key());
@@ -226,7 +227,8 @@
         }
         drop(state);
         let lease_left = Duration::from_millis(left.max(0) as u64);
-        Some((Claimed { taken: taken == 1, lease_left, prior }, trusted))
+        let claimed = Claimed { taken: taken == 1, lease_left, prior };
+        Some(ClaimAnswer { claimed, trusted })
     }
 
     /// Has seen its own count there; whether a word that nothing was sent may be believed.
--- a/gateway/tests/contracts.rs
+++ b/gateway/tests/contracts.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use reedwalk_core::ClassId;
-use reedwalk_gateway::broker::Refusal;
-use reedwalk_gateway::contracts::{Contract, Contracts, Verdict};
+use reedwalk_gateway::contracts::{Contract, Contracts};
+use reedwalk_gateway::message::{QuotaDecision, Rejection};
 use reedwalk_gateway::operator::{EngineWire, Operator, Store as Place};
 use reedwalk_gateway::store::link::{Link, Terms};
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
 
 async fn spend(contracts: &Arc<Contracts>, class: usize) -> bool {
     let due = contracts.cover(Some("desk"), ClassId(class)).unwrap();
-    matches!(contracts.spend(&due).await, Verdict::Admitted(_))
+    matches!(contracts.spend(&due).await, QuotaDecision::Admitted(_))
 }
 
 async fn granted(contracts: &Arc<Contracts>, tries: usize) -> usize {
@@ -85,9 +85,9 @@
 async fn a_contract_covers_its_classes_at_their_cost() {
     early_in_the_window().await;
     let contracts = contracts(contract(10, HOUR_MS), 1, None);
-    assert_eq!(contracts.cover(Some("desk"), ClassId(2)), Err(Refusal::Contract));
-    assert_eq!(contracts.cover(Some("others"), ClassId(0)), Err(Refusal::Contract));
-    assert_eq!(contracts.cover(None, ClassId(0)), Err(Refusal::Contract));
+    assert_eq!(contracts.cover(Some("desk"), ClassId(2)), Err(Rejection::Contract));
+    assert_eq!(contracts.cover(Some("others"), ClassId(0)), Err(Rejection::Contract));
+    assert_eq!(contracts.cover(None, ClassId(0)), Err(Rejection::Contract));
     assert!(spend(&contracts, 1).await && spend(&contracts, 1).await);
     assert!(!spend(&contracts, 1).await, "four more do not fit");
     assert_eq!(granted(&contracts, 5).await, 2, "two single ones do");
@@ -98,7 +98,7 @@
     let contracts = contracts(contract(0, HOUR_MS), 1, None);
     let due = contracts.cover(Some("desk"), ClassId(0)).unwrap();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
-    let Verdict::Spent(after) = contracts.spend(&due).await else { panic!("granted") };
+    let QuotaDecision::Exhausted(after) = contracts.spend(&due).await else { panic!("granted") };
     let ends = (unix + after.as_millis() as u64) % HOUR_MS;
     assert!(!(1000..=HOUR_MS - 1000).contains(&ends), "{ends}");
 }
--- a/gateway/tests/members.rs
+++ b/gateway/tests/members.rs
@@ -5,11 +5,11 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use reedwalk_core::EngineState;
-use reedwalk_gateway::broker::{Listed, Roll};
-use reedwalk_gateway::engine::{Gate, Gates};
+use reedwalk_gateway::drain_guard::DrainGuards;
 use reedwalk_gateway::figures::Figures;
 use reedwalk_gateway::members::Members;
 use reedwalk_gateway::members::keep::Keep;
+use reedwalk_gateway::message::{EndpointMailbox, EndpointUpdate};
 use reedwalk_gateway::names::list::Book;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -42,8 +42,8 @@
 /// One process: what its broker would know.
 struct Process {
     members: Members,
-    roll: Roll,
-    known: HashMap<u32, (Listed, Gate)>,
+    endpoints: EndpointMailbox,
+    known: HashMap<u32, EndpointUpdate>,
 }
 
 /// The list: state and start of each engine, by number; an event for each change.
@@ -67,17 +67,25 @@
 impl Process {
     fn start(folder: &Path, list: &List) -> Self {
         let sockets = Arc::new(reedwalk_settings::read(&support::settings()).unwrap().sockets);
-        let (roll, log) = (Roll::default(), slog::Logger::root(slog::Discard, slog::o!()));
-        let gates = Gates::new(Duration::from_secs(2));
+        let endpoints = EndpointMailbox::default();
+        let log = slog::Logger::root(slog::Discard, slog::o!());
+        let drain_guards = DrainGuards::new(Duration::from_secs(2));
         let keep = Some(Keep::new(folder, "test"));
-        let members =
-            Members::new(Book::new(sockets), gates, roll.clone(), Arc::new(Figures::default()), keep, log);
+        let members = Members::new(
+            Book::new(sockets),
+            drain_guards,
+            endpoints.clone(),
+            Arc::new(Figures::default()),
+            keep,
+            log,
+        );
         members.start(&list.known()).unwrap();
-        Self { members, roll, known: HashMap::new() }
+        Self { members, endpoints, known: HashMap::new() }
     }
 
     fn read(&mut self) {
-        self.known.extend(self.roll.read().into_iter().map(|c| (c.0.entry.engine.0, c)));
+        let updates = self.endpoints.read().into_iter();
+        self.known.extend(updates.map(|update| (update.endpoint.entry.engine.0, update)));
     }
 }
 
@@ -116,24 +124,29 @@
             // Known by its address: each process gives engines numbers of its own.
             for (engine, (state, started)) in &list.engines {
                 let address = format!("10.1.0.{engine}:8080").parse().unwrap();
-                let known = process.known.values().find(|k| k.0.address == address);
+                let known = process.known.values().find(|update| update.endpoint.address == address);
                 let want = match (*state, out.contains(engine)) {
                     (2, _) => EngineState::Gone,
                     (0, false) => EngineState::InService,
                     _ => EngineState::Draining,
                 };
-                let Some((listed, gate)) = known else {
+                let Some(EndpointUpdate { endpoint, drain_guard }) = known else {
                     prop_assert_eq!(want, EngineState::Gone);
                     continue;
                 };
-                prop_assert_eq!(listed.entry.state, want, "engine {}", engine);
+                prop_assert_eq!(endpoint.entry.state, want, "engine {}", engine);
                 let shut = want == EngineState::Gone || out.contains(engine);
                 // One that drains by the list alone may still be written to for a while, or has been out before.
                 if shut || want == EngineState::InService {
-                    prop_assert_eq!(gate.open(Instant::now()), !shut, "the gate of engine {}", engine);
+                    prop_assert_eq!(
+                        drain_guard.is_open(Instant::now()),
+                        !shut,
+                        "the drain guard of engine {}",
+                        engine
+                    );
                 }
                 if want == EngineState::InService && back.contains_key(engine) {
-                    let cold = listed.entry.started.is_some_and(|s| s.0 > started * 1000);
+                    let cold = endpoint.entry.started.is_some_and(|s| s.0 > started * 1000);
                     prop_assert!(cold, "engine {} is back and not cold", engine);
                 }
             }
--- a/gateway/tests/names.rs
+++ b/gateway/tests/names.rs
@@ -4,10 +4,10 @@
 
 use hickory_proto::op::ResponseCode;
 use reedwalk_core::{EngineState, Time};
-use reedwalk_gateway::broker::{Listed, Roll};
-use reedwalk_gateway::engine::Gates;
+use reedwalk_gateway::drain_guard::DrainGuards;
 use reedwalk_gateway::figures::Figures;
 use reedwalk_gateway::members::Members;
+use reedwalk_gateway::message::{Endpoint, EndpointMailbox};
 use reedwalk_gateway::names::dns::{BadAnswer, query, read};
 use reedwalk_gateway::names::list::Book;
 use reedwalk_gateway::names::{Source, watch};
@@ -26,7 +26,7 @@
     Book::new(Arc::new(sockets))
 }
 
-fn told(book: &mut Book, serial: u32, engines: &[Engine]) -> Vec<Listed> {
+fn told(book: &mut Book, serial: u32, engines: &[Engine]) -> Vec<Endpoint> {
     book.take(read(&answer(7, serial, engines).to_vec().unwrap(), &[7]).unwrap())
 }
 
@@ -142,25 +142,25 @@
 }
 
 /// A list that is kept up from this source.
-fn watched(source: Source) -> (tokio::sync::watch::Sender<Source>, Roll) {
+fn watched(source: Source) -> (tokio::sync::watch::Sender<Source>, EndpointMailbox) {
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let (source, sources) = tokio::sync::watch::channel(source);
-    let (roll, figures) = (Roll::default(), Arc::new(Figures::default()));
-    let gates = Gates::new(Duration::from_secs(2));
-    let members = Members::new(book(), gates, roll.clone(), figures, None, log.clone());
+    let (endpoints, figures) = (EndpointMailbox::default(), Arc::new(Figures::default()));
+    let drain_guards = DrainGuards::new(Duration::from_secs(2));
+    let members = Members::new(book(), drain_guards, endpoints.clone(), figures, None, log.clone());
     tokio::spawn(watch(sources, members, 7, log));
-    (source, roll)
+    (source, endpoints)
 }
 
 /// What is told next.
-async fn news(roll: &Roll) -> Vec<Listed> {
+async fn news(endpoints: &EndpointMailbox) -> Vec<Endpoint> {
     let by = Instant::now() + Duration::from_secs(10);
     loop {
-        timeout_at(by, roll.changed()).await.expect("never told");
+        timeout_at(by, endpoints.changed()).await.expect("never told");
         // What was read already may have been announced a second time.
-        let news = roll.read();
+        let news = endpoints.read();
         if !news.is_empty() {
-            return news.into_iter().map(|l| l.0).collect();
+            return news.into_iter().map(|update| update.endpoint).collect();
         }
     }
 }
@@ -169,18 +169,18 @@
 async fn an_answer_that_comes_after_the_next_query_still_counts() {
     // Asked every 250 ms, it answers each query 600 ms late.
     let server = late_server(vec![engine("s-0", 1)], Duration::from_millis(600)).await;
-    let (_source, roll) = watched(Source { server: Some(server), known: None });
-    assert_eq!(news(&roll).await.len(), 1);
+    let (_source, endpoints) = watched(Source { server: Some(server), known: None });
+    assert_eq!(news(&endpoints).await.len(), 1);
 }
 
 #[tokio::test]
 async fn a_way_to_the_name_server_that_goes_silent_for_good_is_given_up_for_a_fresh_one() {
     let list: List = Arc::new(Mutex::new((1, vec![engine("s-0", 1)])));
     let (server, unanswered) = deaf_server(list.clone(), 1).await;
-    let (_source, roll) = watched(Source { server: Some(server), known: None });
-    assert_eq!(news(&roll).await.len(), 1);
+    let (_source, endpoints) = watched(Source { server: Some(server), known: None });
+    assert_eq!(news(&endpoints).await.len(), 1);
     *list.lock().unwrap() = (2, vec![engine("s-0", 1), engine("s-1", 2)]);
-    assert_eq!(news(&roll).await.len(), 1, "the second one");
+    assert_eq!(news(&endpoints).await.len(), 1, "the second one");
     assert!(*unanswered.lock().unwrap() > 0, "the way has not gone silent");
 }
 
@@ -189,11 +189,11 @@
     let list: List = Arc::new(Mutex::new((1, vec![engine("s-0", 1)])));
     let (old, _) = server(list.clone()).await;
     let (new, unanswered) = deaf_server(list.clone(), 0).await;
-    let (source, roll) = watched(Source { server: Some(old), known: None });
-    assert_eq!(news(&roll).await.len(), 1);
+    let (source, endpoints) = watched(Source { server: Some(old), known: None });
+    assert_eq!(news(&endpoints).await.len(), 1);
     source.send(Source { server: Some(new), known: None }).unwrap();
     until("the new one is asked", || *unanswered.lock().unwrap() > 0).await;
     // The old one is asked no more, and nothing of it is taken.
     *list.lock().unwrap() = (2, vec![engine("s-0", 1), engine("s-1", 2)]);
-    assert_eq!(news(&roll).await.len(), 1, "the second one");
+    assert_eq!(news(&endpoints).await.len(), 1, "the second one");
 }
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -3,11 +3,11 @@
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
-use reedwalk_gateway::broker::Rows;
-use reedwalk_gateway::engine::resp::wire::{put_array, put_order, read_page, read_reply, take_array};
+use reedwalk_gateway::engine::resp::wire::{put_array, put_attempt, read_page, read_reply, take_array};
 use reedwalk_gateway::flight_meta::timeout;
 use reedwalk_gateway::front::mysql::packet::{Writer, read_command, read_login, take_packet};
 use reedwalk_gateway::front::mysql::statement::{group, kill_query, take_fields};
+use reedwalk_gateway::message::Rows;
 
 fn seeded() -> Config {
     Config {
@@ -177,37 +177,37 @@
 }
 
 #[test]
-fn an_order_carries_its_fields_and_leaves_out_what_is_not_set() {
+fn attempt_carries_its_fields_and_leaves_out_what_is_not_set() {
     use reedwalk_core::{ClassId, EngineId};
-    use reedwalk_gateway::broker::{AttemptKey, Order};
+    use reedwalk_gateway::message::{AttemptId, AttemptRequest};
     use std::time::Duration;
     let now = tokio::time::Instant::now();
-    let order = |memory_mb, nonce: Option<&'static str>| Order {
-        key: AttemptKey(1),
+    let attempt = |memory_mb, key: Option<&'static str>| AttemptRequest {
+        id: AttemptId(1),
         engine: EngineId(1),
-        trace: Bytes::from_static(b"9b1f03aa5c7e2d41"),
+        trace_id: Bytes::from_static(b"9b1f03aa5c7e2d41"),
         class: ClassId(0),
         deadline: now + Duration::from_millis(1500),
-        write_by: now + Duration::from_millis(1500),
+        write_deadline: now + Duration::from_millis(1500),
         cancelled: Default::default(),
-        nonce: nonce.map(|n| Bytes::from_static(n.as_bytes())),
+        idempotency_key: key.map(|key| Bytes::from_static(key.as_bytes())),
         memory_mb,
         priority: 2,
         update: false,
         statement: Bytes::from_static(b"SELECT 1"),
     };
-    let words = |order| {
+    let words = |attempt| {
         let mut out = BytesMut::new();
-        put_order(&mut out, &order, "report", now);
+        put_attempt(&mut out, &attempt, "report", now);
         let words = take_array(&mut out).unwrap().unwrap();
         words.iter().map(|w| String::from_utf8(w.to_vec()).unwrap()).collect::<Vec<_>>()
     };
-    let full = words(order(Some(95.2), Some("5c0f")));
+    let full = words(attempt(Some(95.2), Some("5c0f")));
     assert_eq!(
         full,
         ["PULL", "9b1f03aa5c7e2d41", "lane=report,ttl=1500,band=2,pool=96,dedupe=5c0f", "SELECT 1"]
     );
-    assert_eq!(words(order(None, None))[2], "lane=report,ttl=1500,band=2");
+    assert_eq!(words(attempt(None, None))[2], "lane=report,ttl=1500,band=2");
 }
 
 #[test]
--- a/gateway/tests/peers.rs
+++ b/gateway/tests/peers.rs
@@ -12,7 +12,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 /// What the front ends say where they leave an engine alone, by their own finding or on what others say.
-const LEAVES: [&str; 2] = ["quarantine engine 0 ", "others say, left alone"];
+const LEAVES: [&str; 2] = ["engine ejected, engine: 0,", "others say, left alone"];
 
 /// One fleet at a time: each has the machine for itself.
 fn alone() -> MutexGuard<'static, ()> {
--- a/gateway/tests/recovery.rs
+++ b/gateway/tests/recovery.rs
@@ -79,7 +79,7 @@
         let said = |n: usize, what: &str| rig.front(n).times_said(what, lost);
         assert!(said(1, "garbled") > 0 && said(3, "of another front end") > 0, "what is wrong is said");
         assert_eq!(said(2, "not used") + said(5, "not used"), 0);
-        assert!((0..FRONTS).all(|n| said(n, "stage over") > 0));
+        assert!((0..FRONTS).all(|n| said(n, "start-up phase over") > 0));
     }
     let bound = if state { (0..FRONTS).map(|n| rig.figures(n)["state_bound"]).sum() } else { 0 };
     let seen = rig.end_load();
@@ -174,7 +174,7 @@
     let late: Vec<_> = seen.iter().filter(|a| a.at > open).collect();
     assert!(!late.is_empty() && late.iter().all(|a| a.end == End::Served));
     assert!(rig.struck().cut > 0);
-    assert_eq!(rig.front(0).times_said("because: time, stage: listing", began), 1);
+    assert_eq!(rig.front(0).times_said("reason: time, phase: listing", began), 1);
 }
 
 fn reedwalk(args: &[&str]) -> (bool, String) {
--- a/measures/src/bin/measure-peers.rs
+++ b/measures/src/bin/measure-peers.rs
@@ -19,7 +19,7 @@
 const CALM: Duration = Duration::from_secs(3);
 const BAD: Duration = Duration::from_secs(10);
 const SEEDS: [u64; 2] = [1, 2];
-const LEAVES: [&str; 2] = ["quarantine engine 0 ", "others say, left alone"];
+const LEAVES: [&str; 2] = ["engine ejected, engine: 0,", "others say, left alone"];
 
 struct Seen {
     errors: usize,
