--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -1,10 +1,10 @@
-//! Speaks the bench's wire on standard input and output; each instance is a [`Gateway`] of its own.
+//! Speaks the bench's wire on standard input and output; each instance is a [`Scheduler`] of its own.
 #![forbid(unsafe_code)]
 
 mod peers;
 mod wire;
 
-use reedwalk_core::*;
+use reedwalk_scheduler::*;
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -14,7 +14,7 @@
 
 /// One instance: its gateway, and the names behind the numbers that it knows.
 struct Instance {
-    gateway: Gateway,
+    gateway: Scheduler,
     events: Vec<Event>,
     engines: HashMap<String, EngineId>,
     addresses: Vec<String>,
@@ -68,12 +68,12 @@
 fn outcome(code: u32) -> Outcome {
     match code {
         0 => Outcome::Ok,
-        11 => Outcome::Full,
+        11 => Outcome::Rejected,
         110 => Outcome::TimedOut,
         111 => Outcome::ConnectFailed,
         104 => Outcome::Reset,
         125 => Outcome::Cancelled,
-        114 => Outcome::Moot,
+        114 => Outcome::NeverSent,
         _ => Outcome::Error,
     }
 }
@@ -132,7 +132,7 @@
                 let peers = self.peers.then(|| peers::Side::new(&deployment, *seed, peers::millis(at)));
                 let instance = Instance {
                     peers: peers.flatten(),
-                    gateway: Gateway::new(deployment.core, *seed).map_err(|e| e.to_string())?,
+                    gateway: Scheduler::new(deployment.core, *seed).map_err(|e| e.to_string())?,
                     events: Vec::new(),
                     engines: HashMap::new(),
                     addresses: Vec::new(),
@@ -163,17 +163,17 @@
             In::Endpoints { kind, sheet, .. } => {
                 let scope = match kind.as_str() {
                     "failed" => None,
-                    "delta" => Some(ListScope::Changes),
-                    "cached" => Some(ListScope::Cached),
-                    _ => Some(ListScope::Whole),
+                    "delta" => Some(EndpointScope::Changes),
+                    "cached" => Some(EndpointScope::Cached),
+                    _ => Some(EndpointScope::Complete),
                 };
                 match scope {
-                    None => Some(Event::ListFailed),
+                    None => Some(Event::EndpointListFailed),
                     Some(scope) => {
                         let lines =
                             sheet.and_then(|s| self.sheets.get(&s)).ok_or("names a sheet not sent")?;
                         let entries = lines.iter().map(|line| entry(instance, line, at)).collect();
-                        Some(Event::Engines { scope, entries })
+                        Some(Event::Endpoints { scope, entries })
                     }
                 }
             }
@@ -192,34 +192,34 @@
                 request: instance.arrival(handle),
                 class: ClassId(service),
                 tenant: TenantId(customer),
-                key: text.as_deref().map(|k| reedwalk_settings::key(k.as_bytes())),
-                group: source_set.map(|g| GroupId(g as u64)),
-                patience: Duration::from_micros(patience_left_us.max(0) as u64),
+                ordering_key: text.as_deref().map(|k| reedwalk_settings::key(k.as_bytes())),
+                table_group: source_set.map(|g| GroupId(g as u64)),
+                time_left: Duration::from_micros(patience_left_us.max(0) as u64),
                 work: estimate_us.filter(|e| *e > 0.0).map(span),
                 memory_mb: want_mb.filter(|m| *m > 0.0),
-                repeated: again_by_client,
-                earlier: None,
+                is_retry: again_by_client,
+                prior_attempt: None,
             })),
             In::Accepted { handle, leg, .. } => known(instance, &handle)
-                .map(|request| Event::StreamBegan { request, attempt: AttemptNo(leg) }),
+                .map(|request| Event::StreamStarted { request, attempt: AttemptNo(leg) }),
             In::Progress { handle, leg, sort, x, .. } => known(instance, &handle).and_then(|request| {
                 let note = match (sort, x) {
-                    (1, _) => Note::Progress(x),
-                    (2, _) => Note::Spills(x),
-                    (3, 2.0) => Note::WaitsForLoad,
-                    (3, _) => Note::WaitsForMemory,
+                    (1, _) => ProgressReport::Done(x),
+                    (2, _) => ProgressReport::Spilling(x),
+                    (3, 2.0) => ProgressReport::WaitingForLoad,
+                    (3, _) => ProgressReport::WaitingForMemory,
                     _ => return None,
                 };
-                Some(Event::Noted { request, attempt: AttemptNo(leg), note })
+                Some(Event::Progress { request, attempt: AttemptNo(leg), report: note })
             }),
             In::Reply { handle, leg, code, closed, bill, feedback, .. } => {
                 known(instance, &handle).map(|request| {
-                    Event::Ended(Ended {
+                    Event::Ended(AttemptEnded {
                         request,
                         attempt: AttemptNo(leg),
                         outcome: outcome(code),
                         closed,
-                        bill: bill.filter(|b| *b > 0).map(|b| Bill {
+                        usage: bill.filter(|b| *b > 0).map(|b| ResourceUsage {
                             work: Duration::from_millis(b / 4096),
                             memory_mb: (b % 4096 * 4) as f64,
                         }),
@@ -227,11 +227,11 @@
                     })
                 })
             }
-            In::Hangup { handle, .. } => known(instance, &handle).map(Event::Left),
-            In::TickDue { .. } => Some(Event::Woken),
+            In::Hangup { handle, .. } => known(instance, &handle).map(Event::ClientDisconnected),
+            In::TickDue { .. } => Some(Event::WakeUp),
             In::ProbeDone { code, executor, feedback, .. } => {
                 let engine = instance.engine(&executor);
-                Some(Event::Probed { engine, outcome: outcome(code), load: feedback.map(load) })
+                Some(Event::HealthChecked { engine, outcome: outcome(code), load: feedback.map(load) })
             }
             In::NoteFrom { neighbour, body, .. } => {
                 instance.peers.iter_mut().for_each(|p| p.hear(neighbour, &body, peers::millis(at)));
@@ -253,7 +253,7 @@
         state: match line.state.as_str() {
             "in_service" => EngineState::InService,
             "terminating" => EngineState::Draining,
-            _ => EngineState::Gone,
+            _ => EngineState::Removed,
         },
         started: (line.started > 0).then_some(Time(line.started)),
     };
@@ -289,7 +289,7 @@
                     h.out = h.out.saturating_sub(1);
                     h.ended |= ended.closed;
                 });
-            } else if let Event::Left(request) = event {
+            } else if let Event::ClientDisconnected(request) = event {
                 self.update(*request, |h| h.ended = true);
             }
         }
@@ -309,7 +309,7 @@
     fn carry_out(&mut self, id: u64, action: &Action, reply: &mut Vec<u8>, first: &mut bool) {
         let (sent, ended) = match action {
             Action::Send { request, .. } => (Some(*request), None),
-            Action::Refuse { request, .. } | Action::Fail { request } => (None, Some(*request)),
+            Action::Reject { request, .. } | Action::Fail { request } => (None, Some(*request)),
             _ => (None, None),
         };
         let name = |r: &RequestId| self.handles.get(r).map(|h| h.name.as_str());
@@ -328,23 +328,27 @@
             Action::Cancel { request, attempt } => {
                 name(request).map(|handle| Out::Recall { controller_id: id, handle, leg: attempt.0 })
             }
-            Action::Refuse { request, retry_after } => name(request).map(|handle| Out::Deny {
+            Action::Reject { request, retry_after } => name(request).map(|handle| Out::Deny {
                 controller_id: id,
                 handle,
                 backoff_us: retry_after.as_ref().map(us),
             }),
             Action::Fail { request } => name(request).map(|handle| Out::Error { controller_id: id, handle }),
-            Action::Terms { request, memory_mb, priority } => name(request).map(|handle| Out::Resources {
-                controller_id: id,
-                handle,
-                mem_mb: memory_mb.unwrap_or(0.0),
-                prio: *priority,
-            }),
-            Action::Wake(after) => Some(Out::Schedule { controller_id: id, after_us: us(after), label: 0 }),
-            Action::Probe(engine) => {
+            Action::GrantResources { request, memory_mb, priority } => {
+                name(request).map(|handle| Out::Resources {
+                    controller_id: id,
+                    handle,
+                    mem_mb: memory_mb.unwrap_or(0.0),
+                    prio: *priority,
+                })
+            }
+            Action::WakeAfter(after) => {
+                Some(Out::Schedule { controller_id: id, after_us: us(after), label: 0 })
+            }
+            Action::CheckHealth(engine) => {
                 address(engine).map(|executor| Out::HealthCheck { controller_id: id, executor })
             }
-            Action::Suspect { engine, silent, .. } => {
+            Action::EngineEjected { engine, unresponsive: silent, .. } => {
                 words = suspicion(*engine, *silent);
                 Some(Out::SayLog { controller_id: id, words: &words })
             }
--- a/benchlink/src/peers.rs
+++ b/benchlink/src/peers.rs
@@ -3,10 +3,10 @@
 
 use base64::Engine;
 use base64::prelude::BASE64_STANDARD;
-use reedwalk_core::{
-    Action, Ended, EngineEntry, EngineId, EngineState, Event, Gateway, Outcome, RequestId, Time,
-};
 use reedwalk_peers::{Act, EngineKey, Keys, Kind, Millis, PeerId, Peers, Seen, Setup, View};
+use reedwalk_scheduler::{
+    Action, AttemptEnded, EngineEntry, EngineId, EngineState, Event, Outcome, RequestId, Scheduler, Time,
+};
 use reedwalk_settings::Deployment;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -68,7 +68,7 @@
     /// What the instance was told of an engine.
     pub fn list(&mut self, name: &str, entry: &EngineEntry, now: Millis) {
         let key = EngineKey::from(name);
-        if entry.state == EngineState::Gone {
+        if entry.state == EngineState::Removed {
             self.listed.remove(&key);
         } else {
             self.listed.insert(key, entry.started.map_or(0, second));
@@ -79,7 +79,7 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, ended: &Ended, now: Millis) {
+    pub fn ended(&mut self, ended: &AttemptEnded, now: Millis) {
         let Some(engine) = self.out.remove(&ended.request) else { return };
         let again = ended.outcome == Outcome::Error && !self.erred.insert(ended.request);
         let failed = matches!(ended.outcome, Outcome::Error | Outcome::Reset | Outcome::ConnectFailed);
@@ -95,8 +95,8 @@
     pub fn acted(&mut self, action: &Action, now: Millis) {
         match action {
             Action::Send { request, engine, .. } => _ = self.out.insert(*request, *engine),
-            Action::Refuse { request, .. } | Action::Fail { request } => _ = self.erred.remove(request),
-            Action::Suspect { engine, silent, lasts } => {
+            Action::Reject { request, .. } | Action::Fail { request } => _ = self.erred.remove(request),
+            Action::EngineEjected { engine, unresponsive: silent, duration: lasts } => {
                 let kind = if *silent { Kind::Silent } else { Kind::Fails };
                 self.find(*engine, kind, now + lasts.as_millis() as Millis, now);
             }
@@ -110,16 +110,16 @@
     }
 
     /// How engines look to the instance.
-    pub fn see(&mut self, gateway: &Gateway, now: Millis) {
+    pub fn see(&mut self, gateway: &Scheduler, now: Millis) {
         if now < self.look {
             return;
         }
         self.look = now + LOOK_EVERY;
-        let seen = |look: reedwalk_core::Look| {
+        let seen = |look: reedwalk_scheduler::EngineObservation| {
             let engine = *self.keys.get(&look.engine)?;
             Some(Seen { engine, slowdown: look.slowdown, threads: look.threads })
         };
-        let seen: Vec<_> = gateway.views().filter_map(seen).collect();
+        let seen: Vec<_> = gateway.observations().filter_map(seen).collect();
         self.peers.see(&seen, now);
     }
 
@@ -132,18 +132,20 @@
                 Act::Send(to, bytes) => said.push((u64::from(to), BASE64_STANDARD.encode(bytes))),
                 Act::Hear(belief) => heard.extend(self.engines.get(&belief.engine).map(|engine| {
                     let lasts = Duration::from_millis(belief.until.saturating_sub(now));
-                    Event::Hearsay { engine: *engine, lasts }
+                    Event::EjectedByGossip { engine: *engine, duration: lasts }
                 })),
                 Act::Look(View::Restarted(key, second)) => {
                     heard.extend(self.engines.get(&key).map(|engine| {
                         let at = (u64::from(second) * 1000).saturating_sub(START) * 1000;
-                        Event::Started { engine: *engine, at: Time(at) }
+                        Event::EngineRestarted { engine: *engine, started: Time(at) }
                     }))
                 }
                 Act::Look(View::Slow(key, slowdown)) => {
-                    heard.extend(self.engines.get(&key).map(|e| Event::Looks { engine: *e, slowdown }));
+                    heard.extend(
+                        self.engines.get(&key).map(|e| Event::SlowdownObserved { engine: *e, slowdown }),
+                    );
                 }
-                Act::Living(count) => heard.push(Event::Living(count)),
+                Act::Living(count) => heard.push(Event::LiveGateways(count)),
             }
         }
         (said, heard)
--- a/benchlink/src/peers/tests.rs
+++ b/benchlink/src/peers/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use reedwalk_core::{AttemptNo, Settings};
+use reedwalk_scheduler::{AttemptNo, Settings};
 
 fn side(ordinal: u32, may_tell: Option<bool>) -> Option<Side> {
     let mut core = Settings::new(Vec::new(), Vec::new());
@@ -23,7 +23,10 @@
             let side = &mut sides[step as usize];
             side.acted(&Action::Send { request, engine: EngineId(2), timeout: None }, now);
             let (outcome, attempt) = (Outcome::Error, AttemptNo(0));
-            side.ended(&Ended { request, attempt, outcome, closed: false, bill: None, load: None }, now);
+            side.ended(
+                &AttemptEnded { request, attempt, outcome, closed: false, usage: None, load: None },
+                now,
+            );
         }
         let notes: Vec<_> = sides.iter_mut().map(|s| s.act(now)).collect();
         for (from, (said, events)) in notes.into_iter().enumerate() {
@@ -31,7 +34,7 @@
             said.iter().for_each(|(to, body)| sides[*to as usize].hear(from as u64, body, now));
         }
     }
-    assert!(matches!(heard[..], [Event::Hearsay { engine: EngineId(2), .. }, ..]), "{heard:?}");
+    assert!(matches!(heard[..], [Event::EjectedByGossip { engine: EngineId(2), .. }, ..]), "{heard:?}");
 }
 
 #[test]
--- a/examples/held.rs
+++ b/examples/held.rs
@@ -1,7 +1,7 @@
 //! What one request costs the decision module while 10, 100 and 1,000 others are held: `make measure-held`.
 //! Prints a row for each count, best of several runs, and the ratio of the last to the first.
 
-use reedwalk_core::*;
+use reedwalk_scheduler::*;
 use std::time::{Duration, Instant};
 
 const ENGINES: u32 = 20;
@@ -11,8 +11,8 @@
 /// Three classes whose late answers earn as much as those in time, so that nothing held is given up.
 fn settings() -> Settings {
     let class = |worth, threads| ClassSettings {
-        worth,
-        late_worth: 1.0,
+        priority_weight: worth,
+        late_weight: 1.0,
         threads,
         ..ClassSettings::new(Duration::from_secs(2), Duration::from_secs(3600))
     };
@@ -24,12 +24,12 @@
 
 /// Microseconds of one core for an arrival and an answer, while so many are held; requests held in the end.
 fn run(held: u64, seed: u64) -> (f64, usize) {
-    let mut gateway = Gateway::new(settings(), seed).expect("sound settings");
+    let mut gateway = Scheduler::new(settings(), seed).expect("sound settings");
     let (mut now, mut next, mut actions) = (1_000_000_000, 0, Vec::new());
     let entries = (0..ENGINES)
         .map(|e| EngineEntry { kind: Some(KindId(0)), ..EngineEntry::new(EngineId(e)) })
         .collect();
-    gateway.step(Time(now), &[Event::Engines { scope: ListScope::Cached, entries }], &mut actions);
+    gateway.step(Time(now), &[Event::Endpoints { scope: EndpointScope::Cached, entries }], &mut actions);
     let mut out = std::collections::VecDeque::new();
     let mut arrival = || {
         next += 1;
@@ -48,9 +48,16 @@
             waiting += 1;
         }
         if let Some((request, attempt)) = out.pop_front() {
-            let bill = Some(Bill { work: Duration::from_millis(40), memory_mb: 8.0 });
+            let bill = Some(ResourceUsage { work: Duration::from_millis(40), memory_mb: 8.0 });
             let outcome = Outcome::Ok;
-            events.push(Event::Ended(Ended { request, attempt, outcome, closed: false, bill, load: None }));
+            events.push(Event::Ended(AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                closed: false,
+                usage: bill,
+                load: None,
+            }));
         }
         actions.clear();
         let began = Instant::now();
@@ -69,7 +76,7 @@
             }
         }
     }
-    (took.as_secs_f64() * 1e6 / REQUESTS as f64, gateway.held_state())
+    (took.as_secs_f64() * 1e6 / REQUESTS as f64, gateway.tracked_items())
 }
 
 fn main() {
--- a/gateway/src/broker/actions.rs
+++ b/gateway/src/broker/actions.rs
@@ -3,7 +3,7 @@
 use super::Broker;
 use super::attempts::UnsentAttempt;
 use crate::message::{EngineTransport, Failure, OutlierKind, OutlierReport, Rejection, Response};
-use reedwalk_core::{Action, AttemptNo, Ended, EngineId, Event, Outcome, RequestId};
+use reedwalk_scheduler::{Action, AttemptEnded, AttemptNo, EngineId, Event, Outcome, RequestId};
 use slog::{info, warn};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -32,8 +32,8 @@
     fn report_unsent(&mut self, attempt: UnsentAttempt) {
         let UnsentAttempt { request, number } = attempt;
         let closed = !self.requests.is_unanswered(request);
-        let outcome = Outcome::Moot;
-        let ended = Ended { request, attempt: number, outcome, closed, bill: None, load: None };
+        let outcome = Outcome::NeverSent;
+        let ended = AttemptEnded { request, attempt: number, outcome, closed, usage: None, load: None };
         self.pending.push(Event::Ended(ended));
     }
 
@@ -46,19 +46,21 @@
                 return self.send_attempt(request, engine, timeout_at, now).err();
             }
             Action::Cancel { request, attempt } => self.cancel(request, attempt),
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 self.respond(request, Response::Rejected { reason: Rejection::Busy, retry_after });
                 self.remove_if_complete(request);
             }
             Action::Fail { request } => self.fail(request, now),
-            Action::Terms { request, memory_mb, priority } => {
+            Action::GrantResources { request, memory_mb, priority } => {
                 self.set_resource_grant(request, memory_mb, priority);
             }
-            Action::Wake(after) => self.wake_at = Some(now + after),
-            Action::Suspect { engine, silent, lasts } => self.report_ejection(engine, silent, lasts, now),
+            Action::WakeAfter(after) => self.wake_at = Some(now + after),
+            Action::EngineEjected { engine, unresponsive: silent, duration: lasts } => {
+                self.report_ejection(engine, silent, lasts, now)
+            }
             Action::Log(line) => info!(self.log, "scheduler"; "message" => line),
             // Health checks are not allowed here, and the name server is polled in any case.
-            Action::Probe(engine) => warn!(self.log, "health check not allowed"; "engine" => engine.0),
+            Action::CheckHealth(engine) => warn!(self.log, "health check not allowed"; "engine" => engine.0),
             Action::Subscribe => {}
         }
         None
--- a/gateway/src/broker/admission.rs
+++ b/gateway/src/broker/admission.rs
@@ -10,7 +10,7 @@
     BrokerEvent, Charge, ClaimAnswer, EngineTransport, Failure, QuotaDecision, QuotaRequest, Rejection,
     Request, Response, ResponseHandle,
 };
-use reedwalk_core::{Arrival, Event, GroupId, RequestId};
+use reedwalk_scheduler::{Arrival, Event, GroupId, RequestId};
 use reedwalk_store::keyed::{Earlier, Step};
 use tokio::time::Instant;
 
@@ -147,13 +147,14 @@
             request: id,
             class: request.class,
             tenant: Default::default(),
-            key: request.idempotency_key.as_deref().map(reedwalk_settings::key),
-            group: request.table_group.map(GroupId),
-            patience: request.deadline.saturating_duration_since(now),
+            ordering_key: request.idempotency_key.as_deref().map(reedwalk_settings::key),
+            table_group: request.table_group.map(GroupId),
+            time_left: request.deadline.saturating_duration_since(now),
             work: request.work,
             memory_mb: request.memory_mb,
-            repeated: request.is_retry,
-            earlier: earlier.map(|attempt| reedwalk_core::Earlier { group: attempt.group, ago: attempt.ago }),
+            is_retry: request.is_retry,
+            prior_attempt: earlier
+                .map(|attempt| reedwalk_scheduler::PriorAttempt { group: attempt.group, age: attempt.ago }),
         }));
     }
 }
--- a/gateway/src/broker/attempt_table.rs
+++ b/gateway/src/broker/attempt_table.rs
@@ -1,7 +1,7 @@
 //! The attempts in flight.
 
 use crate::message::AttemptId;
-use reedwalk_core::{AttemptNo, EngineId, Outcome, RequestId};
+use reedwalk_scheduler::{AttemptNo, EngineId, Outcome, RequestId};
 use std::collections::HashMap;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
--- a/gateway/src/broker/attempts.rs
+++ b/gateway/src/broker/attempts.rs
@@ -8,7 +8,7 @@
 use crate::message::{
     AttemptId, AttemptRequest, AttemptResult, EngineTransport, OutlierKind, OutlierReport, Response,
 };
-use reedwalk_core::{AttemptNo, Ended, EngineId, Event, Outcome, RequestId};
+use reedwalk_scheduler::{AttemptEnded, AttemptNo, EngineId, Event, Outcome, RequestId};
 use reedwalk_store::keyed::Sent;
 use slog::debug;
 use tokio::time::Instant;
@@ -125,15 +125,15 @@
         let tracker = self.idempotency.as_mut();
         let attempt = tracker.and_then(|tracker| tracker.on_send_recorded(request, id, sent, recorded));
         let Some(attempt) = attempt else {
-            self.on_attempt_ended(id, Outcome::Moot.into());
+            self.on_attempt_ended(id, Outcome::NeverSent.into());
             self.end_unsendable(request);
             return;
         };
         if recorded == Some(true) {
-            self.pending.push(Event::Bound(request));
+            self.pending.push(Event::BoundToGroup(request));
         }
         if !self.transport.start(attempt, now) {
-            self.on_attempt_ended(id, Outcome::Moot.into());
+            self.on_attempt_ended(id, Outcome::NeverSent.into());
         }
     }
 
@@ -168,7 +168,14 @@
             closed = true;
         }
         let (request, number) = (attempt.request, attempt.number);
-        self.pending.push(Event::Ended(Ended { request, attempt: number, outcome, closed, bill, load }));
+        self.pending.push(Event::Ended(AttemptEnded {
+            request,
+            attempt: number,
+            outcome,
+            closed,
+            usage: bill,
+            load,
+        }));
         debug!(self.log, "attempt ended"; "trace" => self.requests.trace_text(request),
             "attempt" => number.0, "engine" => attempt.engine.0, "outcome" => ?outcome, "closed" => closed);
         self.remove_if_complete(request);
--- a/gateway/src/broker/dedup_groups.rs
+++ b/gateway/src/broker/dedup_groups.rs
@@ -1,6 +1,6 @@
 //! Deduplication groups: which engines drop repeated requests of one idempotency key together.
 
-use reedwalk_core::{EngineEntry, EngineId, EngineState, KeyScope};
+use reedwalk_scheduler::{EngineEntry, EngineId, EngineState, KeyScope};
 use std::collections::HashMap;
 
 /// The group of each listed engine. Engines that are removed are forgotten.
@@ -11,7 +11,7 @@
     /// Takes in changed entries of the endpoint list.
     pub(super) fn update(&mut self, entries: &[EngineEntry]) {
         for entry in entries {
-            if entry.state == EngineState::Gone {
+            if entry.state == EngineState::Removed {
                 self.0.remove(&entry.engine);
             } else {
                 self.0.insert(entry.engine, entry.clone());
--- a/gateway/src/broker/dedup_groups/tests.rs
+++ b/gateway/src/broker/dedup_groups/tests.rs
@@ -9,7 +9,7 @@
         let entry = EngineEntry::new(EngineId(number));
         groups.update(std::slice::from_ref(&entry));
         assert_eq!(groups.group_of(entry.engine, KeyScope::All), Some(0));
-        groups.update(&[EngineEntry { state: EngineState::Gone, ..entry }]);
+        groups.update(&[EngineEntry { state: EngineState::Removed, ..entry }]);
     }
     assert!(groups.0.is_empty() && groups.group_of(EngineId(3), KeyScope::All).is_none());
 }
--- a/gateway/src/broker/idempotency.rs
+++ b/gateway/src/broker/idempotency.rs
@@ -6,7 +6,7 @@
 use super::packed_rows::pack;
 use crate::message::{AttemptId, AttemptRequest, BrokerEvent, ClaimAnswer, Request, Rows};
 use crate::store::link::{Key, Link};
-use reedwalk_core::{Effect, EngineEntry, KeyScope, RequestId};
+use reedwalk_scheduler::{EngineEntry, Idempotency, KeyScope, RequestId};
 use reedwalk_settings::Deployment;
 use reedwalk_store::keyed::{Close, Ending, Holder, Keyed, Scope, Send, Sent, Step};
 use std::collections::HashMap;
@@ -62,8 +62,8 @@
     /// A tracker that asks the store over `link` and gets its answers through `events`.
     pub(super) fn new(link: Arc<Link>, deployment: &Deployment, events: mpsc::Sender<BrokerEvent>) -> Self {
         let names = deployment.sockets.classes.iter().cloned();
-        let keyed = deployment.core.classes.iter().map(|class| match class.effect {
-            Effect::Keyed { scope, memory } => Some(KeyedClass { scope, window: memory }),
+        let keyed = deployment.core.classes.iter().map(|class| match class.idempotency {
+            Idempotency::Keyed { scope, window: memory } => Some(KeyedClass { scope, window: memory }),
             _ => None,
         });
         Self {
--- a/gateway/src/broker/mod.rs
+++ b/gateway/src/broker/mod.rs
@@ -32,8 +32,8 @@
 use counters::PeriodicReport;
 use idempotency::IdempotencyTracker;
 use recovery_guard::RecoveryGuard;
-use reedwalk_core::{Effect, EngineState, Event, Gateway, ListScope, Time};
 use reedwalk_membership::Part;
+use reedwalk_scheduler::{EndpointScope, EngineState, Event, Idempotency, Scheduler, Time};
 use reedwalk_settings::Deployment;
 use request_table::RequestTable;
 use slog::Logger;
@@ -94,14 +94,19 @@
 impl RequestLimits {
     fn new(deployment: &Deployment) -> Self {
         let dedup_window = |effect| match effect {
-            Effect::Keyed { memory, .. } => Some(memory),
+            Idempotency::Keyed { window: memory, .. } => Some(memory),
             _ => None,
         };
         let limits = &deployment.core.limits;
         Self {
             max_attempts: limits.max_attempts,
             retry_after: limits.max_retry_after,
-            dedup_windows: deployment.core.classes.iter().map(|class| dedup_window(class.effect)).collect(),
+            dedup_windows: deployment
+                .core
+                .classes
+                .iter()
+                .map(|class| dedup_window(class.idempotency))
+                .collect(),
             allows_hedging: deployment.sockets.second_copies,
         }
     }
@@ -127,7 +132,7 @@
 /// The owner of the scheduler and of all open requests.
 pub struct Broker<T> {
     context: BrokerContext,
-    scheduler: Gateway,
+    scheduler: Scheduler,
     transport: T,
     contracts: Option<Arc<Contracts>>,
     /// The broker's own queue, for what has to be waited for elsewhere.
@@ -155,7 +160,7 @@
 impl<T: EngineTransport> Broker<T> {
     /// A broker around a scheduler and a transport. `events` is the sending side of the queue that [`Self::run`] takes.
     pub fn new(
-        scheduler: Gateway,
+        scheduler: Scheduler,
         transport: T,
         deployment: &Deployment,
         options: BrokerOptions,
@@ -234,7 +239,7 @@
         let mut entries = Vec::with_capacity(updates.len());
         for update in updates {
             let entry = update.endpoint.entry;
-            let is_gone = entry.state == EngineState::Gone;
+            let is_gone = entry.state == EngineState::Removed;
             let address = EngineAddress { address: update.endpoint.address, drain_guard: update.drain_guard };
             self.transport.set_endpoint(entry.engine, (!is_gone).then_some(address));
             entries.push(entry);
@@ -245,7 +250,7 @@
         if let Some(recovery) = &mut self.recovery {
             recovery.update_endpoints(&entries);
         }
-        self.pending.push(Event::Engines { scope: ListScope::Changes, entries });
+        self.pending.push(Event::Endpoints { scope: EndpointScope::Changes, entries });
     }
 
     /// Takes over this process's share of the capacity where it has changed.
@@ -254,7 +259,7 @@
         if share != self.capacity_share {
             self.capacity_share = share;
             self.transport.set_capacity_share(share);
-            self.pending.push(Event::Part(share));
+            self.pending.push(Event::CapacityShare(share));
         }
     }
 
@@ -286,15 +291,15 @@
             }
             BrokerEvent::EjectedByGossip { engine, until } => {
                 let lasts = until.saturating_duration_since(now);
-                self.pending.push(Event::Hearsay { engine, lasts });
+                self.pending.push(Event::EjectedByGossip { engine, duration: lasts });
             }
             BrokerEvent::EngineRestarted { engine, started } => {
-                self.pending.push(Event::Started { engine, at: started });
+                self.pending.push(Event::EngineRestarted { engine, started });
             }
             BrokerEvent::SlowdownObserved { engine, slowdown } => {
-                self.pending.push(Event::Looks { engine, slowdown });
+                self.pending.push(Event::SlowdownObserved { engine, slowdown });
             }
-            BrokerEvent::LiveGateways(count) => self.pending.push(Event::Living(count)),
+            BrokerEvent::LiveGateways(count) => self.pending.push(Event::LiveGateways(count)),
         }
     }
 
@@ -303,7 +308,7 @@
             AttemptEvent::Progress(note) => {
                 if let Some(attempt) = self.attempts.get(id) {
                     let (request, attempt) = (attempt.request, attempt.number);
-                    self.pending.push(Event::Noted { request, attempt, note });
+                    self.pending.push(Event::Progress { request, attempt, report: note });
                 }
             }
             AttemptEvent::CancelConfirmed => {
--- a/gateway/src/broker/recovery_guard.rs
+++ b/gateway/src/broker/recovery_guard.rs
@@ -7,11 +7,11 @@
 use crate::health::Health;
 use crate::message::{PersistedEvent, Request};
 use crate::store::unix_ms;
-use reedwalk_core::{Effect, EngineEntry, EngineId, Gateway, KeyScope};
 use reedwalk_recovery::Millis;
 use reedwalk_recovery::keys::{Keyed, Keys, Step};
 use reedwalk_recovery::memory::KeyMemory;
 use reedwalk_recovery::stages::{May, Return, Setup, Stage};
+use reedwalk_scheduler::{EngineEntry, EngineId, Idempotency, KeyScope, Scheduler};
 use reedwalk_settings::Deployment;
 use reedwalk_store::keyed::Earlier;
 use slog::{Logger, info};
@@ -90,7 +90,8 @@
         figures: Arc<Figures>,
         log: Logger,
     ) -> Self {
-        let classes: Vec<_> = deployment.core.classes.iter().map(|class| keyed_class(class.effect)).collect();
+        let classes: Vec<_> =
+            deployment.core.classes.iter().map(|class| keyed_class(class.idempotency)).collect();
         let window = classes.iter().flatten().map(|class| class.rules.window).max().unwrap_or(0);
         let (started_ms, now) = (unix_ms(), Instant::now());
         let names = setup.has_name_server;
@@ -182,13 +183,13 @@
     }
 
     /// Advances the start-up phase, and persists what was learned and updates the metrics when it is time.
-    pub(super) fn tick(&mut self, scheduler: &Gateway, discovery_answered: bool, now: Instant) {
+    pub(super) fn tick(&mut self, scheduler: &Scheduler, discovery_answered: bool, now: Instant) {
         self.advance_phase(scheduler, discovery_answered, now);
         if now >= self.next_snapshot {
             self.next_snapshot = now + SNAPSHOT_INTERVAL;
             let keys = self.keys.all(self.unix_ms(now));
-            let engines = scheduler.views().collect();
-            self.persist(PersistedEvent::Snapshot { classes: scheduler.paces(), engines, keys });
+            let engines = scheduler.observations().collect();
+            self.persist(PersistedEvent::Snapshot { classes: scheduler.class_stats(), engines, keys });
         }
         if now >= self.next_metrics {
             self.next_metrics = now + METRICS_INTERVAL;
@@ -196,14 +197,14 @@
         }
     }
 
-    fn advance_phase(&mut self, scheduler: &Gateway, discovery_answered: bool, now: Instant) {
+    fn advance_phase(&mut self, scheduler: &Scheduler, discovery_answered: bool, now: Instant) {
         let now_ms = self.unix_ms(now);
         let phases_before = self.phases.left().len();
         if discovery_answered {
             self.phases.listed(now_ms);
         }
         if self.phases.stage() == Stage::Letting {
-            self.phases.pool(scheduler.warmth(), now_ms);
+            self.phases.pool(scheduler.mean_warm_up(), now_ms);
         }
         self.phases.go_on(now_ms);
         for (stage, at_ms, reason) in &self.phases.left()[phases_before..] {
@@ -225,9 +226,9 @@
     }
 }
 
-fn keyed_class(effect: Effect) -> Option<KeyedClass> {
+fn keyed_class(effect: Idempotency) -> Option<KeyedClass> {
     match effect {
-        Effect::Keyed { scope, memory } => {
+        Idempotency::Keyed { scope, window: memory } => {
             let rules = Keyed { all: scope == KeyScope::All, window: memory.as_millis() as Millis };
             Some(KeyedClass { scope, rules })
         }
--- a/gateway/src/broker/request_queue.rs
+++ b/gateway/src/broker/request_queue.rs
@@ -2,7 +2,7 @@
 
 use crate::figures::{Ending, Figures, Taken};
 use crate::message::{BrokerEvent, Failure, Rejection, Request, Response, ResponseHandle};
-use reedwalk_core::{ClassId, RequestId};
+use reedwalk_scheduler::{ClassId, RequestId};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
--- a/gateway/src/broker/request_table.rs
+++ b/gateway/src/broker/request_table.rs
@@ -2,7 +2,7 @@
 
 use crate::message::{AttemptId, Charge, Request, Response, ResponseHandle};
 use bytes::Bytes;
-use reedwalk_core::{AttemptNo, RequestId};
+use reedwalk_scheduler::{AttemptNo, RequestId};
 use std::collections::{HashMap, HashSet};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
--- a/gateway/src/broker/request_table/tests.rs
+++ b/gateway/src/broker/request_table/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::message::Failure;
-use reedwalk_core::ClassId;
+use reedwalk_scheduler::ClassId;
 use std::time::Duration;
 
 fn request(trace_id: &'static str, deadline: Instant) -> Request {
--- a/gateway/src/broker/requests.rs
+++ b/gateway/src/broker/requests.rs
@@ -3,7 +3,7 @@
 use super::timers::Timer;
 use super::{Broker, DISCONNECT_SCAN_INTERVAL};
 use crate::message::{Charge, EngineTransport, Failure, Rejection, Response};
-use reedwalk_core::{Event, Outcome, RequestId};
+use reedwalk_scheduler::{Event, Outcome, RequestId};
 use slog::debug;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -66,7 +66,7 @@
     pub(super) fn end_unsendable(&mut self, id: RequestId) {
         let response = self.rejection_or(id, Failure::Engine);
         self.respond(id, response);
-        self.pending.push(Event::Left(id));
+        self.pending.push(Event::ClientDisconnected(id));
         self.remove_if_complete(id);
     }
 
@@ -95,7 +95,7 @@
         if let Some(idempotency) = &mut self.idempotency {
             idempotency.on_request_ended(id, None);
         }
-        self.pending.push(Event::Left(id));
+        self.pending.push(Event::ClientDisconnected(id));
         self.remove_if_complete(id);
     }
 
@@ -134,8 +134,8 @@
         }
         if self.wake_at.is_some_and(|wake_at| wake_at <= now) {
             self.wake_at = None;
-            self.pending.push(Event::Woken);
-            self.context.figures.set_unavailable(self.scheduler.avoided());
+            self.pending.push(Event::WakeUp);
+            self.context.figures.set_unavailable(self.scheduler.unavailable_engines());
             self.report(now);
         }
     }
@@ -143,7 +143,7 @@
     fn on_request_timeout(&mut self, id: RequestId) {
         if self.requests.is_unanswered(id) {
             self.respond(id, Response::Failed(Failure::Deadline));
-            self.pending.push(Event::Left(id));
+            self.pending.push(Event::ClientDisconnected(id));
             self.remove_if_complete(id);
         }
         // No further attempt can follow: nothing waits for the confirmation of a cancellation any more.
@@ -161,7 +161,7 @@
             return;
         }
         if let Some(gossip) = &self.context.gossip {
-            gossip.observations.send_replace(self.scheduler.views().collect());
+            gossip.observations.send_replace(self.scheduler.observations().collect());
         }
     }
 }
--- a/gateway/src/broker/timers.rs
+++ b/gateway/src/broker/timers.rs
@@ -1,7 +1,7 @@
 //! The broker's timers: one for each attempt in flight and each open request, in the order in which they expire.
 
 use crate::message::AttemptId;
-use reedwalk_core::RequestId;
+use reedwalk_scheduler::RequestId;
 use std::collections::BTreeSet;
 use tokio::time::Instant;
 
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::names::list::Book;
 use crate::operator::{self, Fault, Operator};
-use reedwalk_core::{Gateway, SettingsError};
+use reedwalk_scheduler::{Scheduler, SettingsError};
 use reedwalk_settings::{Deployment, ReadError};
 use serde::Deserialize;
 use std::fmt;
@@ -123,7 +123,7 @@
     /// # Errors
     /// Says what is wrong with it.
     pub fn sound(self) -> Result<Self, ConfigError> {
-        Gateway::new(self.deployment.core.clone(), self.seed).map_err(ConfigError::Unsound)?;
+        Scheduler::new(self.deployment.core.clone(), self.seed).map_err(ConfigError::Unsound)?;
         if let Some(known) = &self.known {
             Book::new(Arc::new(self.deployment.sockets.clone())).start(known).map_err(ConfigError::Known)?;
         }
--- a/gateway/src/contracts.rs
+++ b/gateway/src/contracts.rs
@@ -4,7 +4,7 @@
 use crate::message::{Charge, QuotaDecision, QuotaRequest, Rejection};
 use crate::store::link::Link;
 use crate::store::unix_ms;
-use reedwalk_core::ClassId;
+use reedwalk_scheduler::ClassId;
 use reedwalk_store::lease::{ALONE, EVEN, Purse, Spend};
 use std::collections::HashMap;
 use std::fmt;
--- a/gateway/src/drain_guard.rs
+++ b/gateway/src/drain_guard.rs
@@ -2,8 +2,8 @@
 //! engine starts to drain; connections check it at the moment they write, so that an attempt which waited in a queue
 //! meanwhile is not sent.
 
-use reedwalk_core::{EngineEntry, EngineId, EngineState};
 use reedwalk_cores::{Fence, Fences, Standing};
+use reedwalk_scheduler::{EngineEntry, EngineId, EngineState};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -54,7 +54,7 @@
             EngineState::InService => Standing::InService,
             EngineState::Draining if taken_out => Standing::Out,
             EngineState::Draining => Standing::Draining,
-            EngineState::Gone => Standing::Gone,
+            EngineState::Removed => Standing::Gone,
         };
         let fence = self.fences.take(&entry.engine, standing, micros_since(self.epoch, now));
         DrainGuard { fence, epoch: self.epoch }
--- a/gateway/src/engine/flight/call.rs
+++ b/gateway/src/engine/flight/call.rs
@@ -17,7 +17,7 @@
 use bytes::Bytes;
 use futures::{StreamExt, TryStreamExt, stream};
 use prost::Message;
-use reedwalk_core::{Bill, LoadReport, Outcome};
+use reedwalk_scheduler::{LoadReport, Outcome, ResourceUsage};
 use std::error::Error;
 use std::sync::Arc;
 use std::time::Duration;
@@ -91,7 +91,7 @@
                 AttemptResult { outcome: Outcome::Ok, bill, load, rows: Some(rows) }
             }
             Err(Broken::Unusable) => Outcome::Error.into(),
-            Err(Broken::Shut) => Outcome::Moot.into(),
+            Err(Broken::Shut) => Outcome::NeverSent.into(),
             Err(Broken::Status(status, begun)) => {
                 let load = report(status.metadata());
                 AttemptResult { outcome: outcome(&status, begun), bill: None, load, rows: None }
@@ -210,7 +210,7 @@
     }
     match status.code() {
         _ if ours => Outcome::Reset,
-        Code::ResourceExhausted if !begun => Outcome::Full,
+        Code::ResourceExhausted if !begun => Outcome::Rejected,
         Code::DeadlineExceeded => Outcome::TimedOut,
         // Sent by a peer that goes away, or made here of a stream that was reset.
         Code::Unavailable | Code::Cancelled => Outcome::Reset,
@@ -222,9 +222,9 @@
     meta::text(metadata, meta::LOAD).map(read_load)
 }
 
-fn read_bill(metadata: &MetadataMap) -> Option<Bill> {
+fn read_bill(metadata: &MetadataMap) -> Option<ResourceUsage> {
     let number = |name| meta::number(metadata, name).and_then(Result::ok);
-    number(meta::WORK).map(|ms| Bill {
+    number(meta::WORK).map(|ms| ResourceUsage {
         work: Duration::from_micros((ms * 1000.0).min(1e15) as u64),
         memory_mb: number(meta::MEMORY).unwrap_or(0.0),
     })
--- a/gateway/src/engine/flight/mod.rs
+++ b/gateway/src/engine/flight/mod.rs
@@ -9,7 +9,7 @@
 use crate::figures::Figures;
 use crate::message::{AttemptId, AttemptRequest, BrokerEvent, EngineAddress, EngineTransport};
 use hyper_util::rt::TokioIo;
-use reedwalk_core::EngineId;
+use reedwalk_scheduler::EngineId;
 use reedwalk_settings::Sockets;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -4,7 +4,7 @@
 mod pool;
 pub mod resp;
 
-use reedwalk_core::LoadReport;
+use reedwalk_scheduler::LoadReport;
 
 /// Bytes of one result at most.
 pub const RESULT_MOST: usize = 48_000;
--- a/gateway/src/engine/pool.rs
+++ b/gateway/src/engine/pool.rs
@@ -3,7 +3,7 @@
 use crate::drain_guard::DrainGuard;
 use crate::message::{AttemptId, AttemptRequest, EngineAddress};
 use bytes::Bytes;
-use reedwalk_core::EngineId;
+use reedwalk_scheduler::EngineId;
 use reedwalk_settings::Sockets;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
--- a/gateway/src/engine/pool/tests.rs
+++ b/gateway/src/engine/pool/tests.rs
@@ -1,7 +1,7 @@
 //! Which connection an attempt goes on.
 
 use super::*;
-use reedwalk_core::ClassId;
+use reedwalk_scheduler::ClassId;
 
 struct Fake;
 
--- a/gateway/src/engine/resp/connection.rs
+++ b/gateway/src/engine/resp/connection.rs
@@ -8,7 +8,7 @@
 use crate::figures::Figures;
 use crate::message::{AttemptEvent, AttemptId, AttemptRequest, AttemptResult, BrokerEvent, Rows};
 use bytes::{Bytes, BytesMut};
-use reedwalk_core::Outcome;
+use reedwalk_scheduler::Outcome;
 use reedwalk_settings::Sockets;
 use socket2::SockRef;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -116,7 +116,7 @@
         };
         // Nothing that was not written whole has run. That the engine was not there is told only where it was
         // not: a connection that broke before a command went out says nothing against it.
-        let unsent = if over.is_some() { Outcome::Moot } else { Outcome::ConnectFailed };
+        let unsent = if over.is_some() { Outcome::NeverSent } else { Outcome::ConnectFailed };
         self.commands.close();
         while let Some(command) = self.commands.recv().await {
             match command {
@@ -234,7 +234,7 @@
     /// An attempt was withdrawn before it was written; it never ran.
     async fn unsent(&mut self, key: AttemptId) {
         if let Some(id) = self.ids.get(&key).cloned() {
-            self.end(&id, Outcome::Moot.into()).await;
+            self.end(&id, Outcome::NeverSent.into()).await;
         }
     }
 
@@ -312,8 +312,8 @@
                     self.tell(key, AttemptEvent::Progress(note)).await;
                 }
             }
-            Word::Full => self.end(&id, failed(Outcome::Full)).await,
-            Word::Over => self.end(&id, failed(Outcome::Moot)).await,
+            Word::Full => self.end(&id, failed(Outcome::Rejected)).await,
+            Word::Over => self.end(&id, failed(Outcome::NeverSent)).await,
             Word::Error => self.end(&id, failed(Outcome::Error)).await,
             Word::Alive => {}
             Word::Ok if attempt.served.is_none() => {
@@ -390,7 +390,7 @@
                 .try_send(BrokerEvent::Attempt { id: key, event: AttemptEvent::Ended(outcome.into()) })
         };
         for attempt in self.by_id.values() {
-            tell(attempt.key, if attempt.sent { Outcome::Reset } else { Outcome::Moot });
+            tell(attempt.key, if attempt.sent { Outcome::Reset } else { Outcome::NeverSent });
         }
         let given_up = |key| {
             _ = self.queue.try_send(BrokerEvent::Attempt { id: key, event: AttemptEvent::CancelConfirmed })
@@ -399,7 +399,7 @@
         self.commands.close();
         while let Ok(command) = self.commands.try_recv() {
             match command {
-                Command::Start(attempt, _) => tell(attempt.id, Outcome::Moot),
+                Command::Start(attempt, _) => tell(attempt.id, Outcome::NeverSent),
                 Command::Stop(key) => given_up(key),
                 Command::Boost(..) => {}
             }
--- a/gateway/src/engine/resp/mod.rs
+++ b/gateway/src/engine/resp/mod.rs
@@ -9,7 +9,7 @@
 use crate::figures::Figures;
 use crate::message::{AttemptId, AttemptRequest, BrokerEvent, EngineAddress, EngineTransport};
 use connection::{Command, Task};
-use reedwalk_core::EngineId;
+use reedwalk_scheduler::EngineId;
 use reedwalk_settings::Sockets;
 use std::sync::Arc;
 use std::time::Duration;
--- a/gateway/src/engine/resp/tests.rs
+++ b/gateway/src/engine/resp/tests.rs
@@ -6,7 +6,7 @@
 use crate::figures::Figures;
 use crate::message::{AttemptEvent, AttemptId, AttemptRequest, BrokerEvent};
 use bytes::{Bytes, BytesMut};
-use reedwalk_core::{ClassId, EngineId, Outcome};
+use reedwalk_scheduler::{ClassId, EngineId, Outcome};
 use reedwalk_settings::Sockets;
 use std::sync::Arc;
 use std::time::Duration;
@@ -133,7 +133,7 @@
     let (mut engine, _commands, mut news) = link.up().await;
     let text = read_until(&mut engine, WANTED).await;
     assert!(!text.contains(STOPPED), "sent on for nobody: {text}");
-    assert_eq!(outcome(&mut news).await, (AttemptId(1), Outcome::Moot), "it surely never ran");
+    assert_eq!(outcome(&mut news).await, (AttemptId(1), Outcome::NeverSent), "it surely never ran");
 }
 
 #[tokio::test]
@@ -145,7 +145,7 @@
     let (mut engine, _commands, mut news) = link.up().await;
     let text = read_until(&mut engine, WANTED).await;
     assert!(!text.contains(STOPPED), "written after its window: {text}");
-    assert_eq!(outcome(&mut news).await, (AttemptId(1), Outcome::Moot));
+    assert_eq!(outcome(&mut news).await, (AttemptId(1), Outcome::NeverSent));
 }
 
 /// The attempt that is next told of as given up.
@@ -215,7 +215,7 @@
     // Both lie there when the task next runs: it has no turn between these lines.
     drop(closed);
     commands.try_send(start(&attempt(1, STOPPED, 10))).unwrap();
-    assert_eq!(outcome(&mut news).await, (AttemptId(1), Outcome::Moot));
+    assert_eq!(outcome(&mut news).await, (AttemptId(1), Outcome::NeverSent));
 }
 
 #[tokio::test]
--- a/gateway/src/engine/resp/wire.rs
+++ b/gateway/src/engine/resp/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::message::{AttemptRequest, Rows};
 use bytes::{Bytes, BytesMut};
-use reedwalk_core::{Bill, LoadReport, Note};
+use reedwalk_scheduler::{LoadReport, ProgressReport, ResourceUsage};
 use std::fmt;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -123,11 +123,11 @@
     /// Number of this page.
     pub page: u32,
     /// What the query had cost.
-    pub bill: Option<Bill>,
+    pub bill: Option<ResourceUsage>,
     /// The engine's load.
     pub load: Option<LoadReport>,
     /// A note, where it holds one.
-    pub note: Option<Note>,
+    pub note: Option<ProgressReport>,
     /// The page.
     pub body: Bytes,
 }
@@ -161,14 +161,14 @@
     };
     let value = number("datum");
     let note = match (find("why"), value) {
-        (Some("pct"), Some(done)) => Some(Note::Progress(done)),
-        (Some("overflow"), Some(missing)) => Some(Note::Spills(missing)),
-        (Some("queued"), Some(2.0)) => Some(Note::WaitsForLoad),
-        (Some("queued"), Some(_)) => Some(Note::WaitsForMemory),
+        (Some("pct"), Some(done)) => Some(ProgressReport::Done(done)),
+        (Some("overflow"), Some(missing)) => Some(ProgressReport::Spilling(missing)),
+        (Some("queued"), Some(2.0)) => Some(ProgressReport::WaitingForLoad),
+        (Some("queued"), Some(_)) => Some(ProgressReport::WaitingForMemory),
         _ => None,
     };
     let load = find("rep").map(crate::engine::read_load);
-    let bill = number("elapsed").filter(|ms| *ms >= 0.0).map(|ms| Bill {
+    let bill = number("elapsed").filter(|ms| *ms >= 0.0).map(|ms| ResourceUsage {
         work: Duration::from_micros((ms * 1000.0).min(1e15) as u64),
         memory_mb: number("rss").unwrap_or(0.0).max(0.0),
     });
--- a/gateway/src/figures.rs
+++ b/gateway/src/figures.rs
@@ -2,7 +2,7 @@
 //! anybody. Counts start at 0 with the process.
 
 use crate::message::Response;
-use reedwalk_core::ClassId;
+use reedwalk_scheduler::ClassId;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/gateway/src/front/flight/service.rs
+++ b/gateway/src/front/flight/service.rs
@@ -19,7 +19,7 @@
 use bytes::Bytes;
 use futures::{TryStreamExt, stream};
 use prost::Message;
-use reedwalk_core::{ClassId, Effect};
+use reedwalk_scheduler::{ClassId, Idempotency};
 use reedwalk_settings::Deployment;
 use std::sync::Arc;
 use std::time::Duration;
@@ -75,7 +75,7 @@
         let plain = |k: &String| {
             (1..=KEY_MOST).contains(&k.len()) && k.bytes().all(|b| b.is_ascii_graphic() && b != b',')
         };
-        let keyed = matches!(self.deployment.core.classes[class.0].effect, Effect::Keyed { .. });
+        let keyed = matches!(self.deployment.core.classes[class.0].idempotency, Idempotency::Keyed { .. });
         if keyed && key.is_none() || key.as_ref().is_some_and(|k| !plain(k)) {
             return Err(bad(meta::KEY));
         }
--- a/gateway/src/front/mysql/session.rs
+++ b/gateway/src/front/mysql/session.rs
@@ -10,7 +10,7 @@
 use crate::message::{Failure, Rejection, Request, Response};
 use crate::shutdown::{Phase, closed_to};
 use bytes::{Bytes, BytesMut};
-use reedwalk_core::{ClassId, Effect};
+use reedwalk_scheduler::{ClassId, Idempotency};
 use socket2::SockRef;
 use std::mem::MaybeUninit;
 use std::sync::Arc;
@@ -257,7 +257,8 @@
         let Some(class) = sockets.classes.iter().position(|c| *c == fields.route) else {
             return Err(BadFields::NoSuchClass(fields.route));
         };
-        let keyed = matches!(self.front.deployment.core.classes[class].effect, Effect::Keyed { .. });
+        let keyed =
+            matches!(self.front.deployment.core.classes[class].idempotency, Idempotency::Keyed { .. });
         if keyed && fields.nonce.is_none() {
             // Without its key a repeat would have a second effect.
             self.front.request_queue.count_rejected(ClassId(class), Ending::Failed);
--- a/gateway/src/members/mod.rs
+++ b/gateway/src/members/mod.rs
@@ -9,8 +9,8 @@
 use crate::names::dns;
 use crate::names::list::Book;
 use keep::{Keep, KeepError};
-use reedwalk_core::{EngineEntry, EngineId, EngineState, Time};
 use reedwalk_membership::{Hand, TooMany, Word};
+use reedwalk_scheduler::{EngineEntry, EngineId, EngineState, Time};
 use slog::{Logger, info, warn};
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -69,7 +69,7 @@
         let said = self.hand.words().find(|(name, _)| self.book.find(name) == Some(entry.engine));
         let Some((_, said)) = said else { return (entry, false) };
         let out = said.word == Word::Out;
-        if out && entry.state != EngineState::Gone {
+        if out && entry.state != EngineState::Removed {
             entry.state = EngineState::Draining;
         } else if !out {
             // It was restarted meanwhile and is cold, whatever the list knows of that.
--- a/gateway/src/message/attempt.rs
+++ b/gateway/src/message/attempt.rs
@@ -3,7 +3,7 @@
 use super::endpoint::EngineAddress;
 use super::response::Rows;
 use bytes::Bytes;
-use reedwalk_core::{Bill, ClassId, EngineId, LoadReport, Note, Outcome};
+use reedwalk_scheduler::{ClassId, EngineId, LoadReport, Outcome, ProgressReport, ResourceUsage};
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
@@ -47,7 +47,7 @@
     /// The outcome.
     pub outcome: Outcome,
     /// What the query cost, if the engine reports it.
-    pub bill: Option<Bill>,
+    pub bill: Option<ResourceUsage>,
     /// The engine's load, if it reports it.
     pub load: Option<LoadReport>,
     /// The result, where it was served.
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 pub enum AttemptEvent {
     /// A progress report of the engine.
-    Progress(Note),
+    Progress(ProgressReport),
     /// The attempt has ended.
     Ended(AttemptResult),
     /// The attempt was cancelled, and the cancellation has reached the engine, or the attempt was never written, or
--- a/gateway/src/message/endpoint.rs
+++ b/gateway/src/message/endpoint.rs
@@ -1,7 +1,7 @@
 //! Engines as service discovery lists them, and where each is reached.
 
 use crate::drain_guard::DrainGuard;
-use reedwalk_core::EngineEntry;
+use reedwalk_scheduler::EngineEntry;
 use std::net::SocketAddr;
 
 /// One engine as service discovery lists it.
--- a/gateway/src/message/endpoint_mailbox.rs
+++ b/gateway/src/message/endpoint_mailbox.rs
@@ -2,7 +2,7 @@
 //! engine, so it is bounded by the number of engines and neither side waits for the other.
 
 use super::endpoint::EndpointUpdate;
-use reedwalk_core::EngineId;
+use reedwalk_scheduler::EngineId;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/gateway/src/message/event.rs
+++ b/gateway/src/message/event.rs
@@ -3,7 +3,7 @@
 use super::attempt::{AttemptEvent, AttemptId};
 use super::quota::QuotaDecision;
 use super::request::{Request, ResponseHandle};
-use reedwalk_core::{EngineId, Look, RequestId, Time};
+use reedwalk_scheduler::{EngineId, EngineObservation, RequestId, Time};
 use reedwalk_store::keyed::{Claimed, Sent};
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
@@ -114,5 +114,5 @@
     /// Outlier reports, each as it is made.
     pub outliers: mpsc::Sender<OutlierReport>,
     /// What was observed of the engines, from time to time.
-    pub observations: watch::Sender<Vec<Look>>,
+    pub observations: watch::Sender<Vec<EngineObservation>>,
 }
--- a/gateway/src/message/persisted_event.rs
+++ b/gateway/src/message/persisted_event.rs
@@ -1,7 +1,7 @@
 //! What the broker writes to the snapshot folder, by way of the persistence thread.
 
-use reedwalk_core::{ClassPace, Look};
 use reedwalk_recovery::memory::KeyMemory;
+use reedwalk_scheduler::{ClassLatencyStats, EngineObservation};
 
 /// A change to be persisted.
 #[derive(Clone, Debug)]
@@ -11,9 +11,9 @@
     /// Everything learned so far, for a new snapshot.
     Snapshot {
         /// Latency statistics of the classes, in the order of the settings.
-        classes: Vec<ClassPace>,
+        classes: Vec<ClassLatencyStats>,
         /// What was observed of each engine.
-        engines: Vec<Look>,
+        engines: Vec<EngineObservation>,
         /// All idempotency keys inside their windows.
         keys: Vec<KeyMemory>,
     },
--- a/gateway/src/message/request.rs
+++ b/gateway/src/message/request.rs
@@ -2,7 +2,7 @@
 
 use super::response::Response;
 use bytes::Bytes;
-use reedwalk_core::ClassId;
+use reedwalk_scheduler::ClassId;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/gateway/src/names/list.rs
+++ b/gateway/src/names/list.rs
@@ -3,7 +3,7 @@
 
 use super::dns;
 use crate::message::Endpoint;
-use reedwalk_core::{CellId, EngineEntry, EngineId, EngineState, KindId, Time, ZoneId};
+use reedwalk_scheduler::{CellId, EngineEntry, EngineId, EngineState, KindId, Time, ZoneId};
 use reedwalk_settings::Sockets;
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -134,7 +134,7 @@
                 let state = match server.state.as_str() {
                     "in_service" => EngineState::InService,
                     "terminating" => EngineState::Draining,
-                    _ => EngineState::Gone,
+                    _ => EngineState::Removed,
                 };
                 let entry = EngineEntry {
                     engine,
@@ -206,7 +206,7 @@
         if self.listed.get(&engine) == Some(&listed) {
             return;
         }
-        if listed.entry.state == EngineState::Gone {
+        if listed.entry.state == EngineState::Removed {
             if self.listed.remove(&engine).is_none() {
                 return;
             }
@@ -221,7 +221,7 @@
         let gone: Vec<_> =
             self.listed.values().filter(|l| !named.contains(&l.entry.engine)).cloned().collect();
         for mut listed in gone {
-            listed.entry.state = EngineState::Gone;
+            listed.entry.state = EngineState::Removed;
             self.change(listed, changes);
         }
     }
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -7,10 +7,10 @@
 use crate::message::{BrokerEvent, OutlierKind, OutlierReport};
 use crate::names::Source;
 use crate::operator::Fault;
-use reedwalk_core::{EngineId, Look, Time};
 use reedwalk_peers::{
     Act, EngineKey, Key, Keys, Kind, LENGTH_MOST, Millis, PeerId, Peers, Seen, Setup, View,
 };
+use reedwalk_scheduler::{EngineId, EngineObservation, Time};
 use slog::{Logger, debug, error, info, warn};
 use std::collections::{BTreeMap, HashMap};
 use std::io::ErrorKind;
@@ -144,7 +144,7 @@
     /// What this front end finds.
     pub findings: mpsc::Receiver<OutlierReport>,
     /// How engines look to it.
-    pub views: watch::Receiver<Vec<Look>>,
+    pub views: watch::Receiver<Vec<EngineObservation>>,
     /// Changes when the configuration is read again; the keys are then, too.
     pub sources: watch::Receiver<Source>,
     /// Set once this process ends: the next one takes the address.
@@ -300,7 +300,7 @@
             return;
         }
         let named: HashMap<_, _> = self.engines.iter().map(|(key, id)| (*id, *key)).collect();
-        let seen = |look: &Look| {
+        let seen = |look: &EngineObservation| {
             let engine = *named.get(&look.engine)?;
             Some(Seen { engine, slowdown: look.slowdown, threads: look.threads })
         };
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -23,8 +23,8 @@
 use crate::store::link::Link;
 use crate::store::unix_ms;
 use crate::succession::{MAKES_ROOM, Succession};
-use reedwalk_core::{Effect, Gateway};
 use reedwalk_membership::{Part, Stage};
+use reedwalk_scheduler::{Idempotency, Scheduler};
 use reedwalk_settings::Deployment;
 use slog::{Logger, error, info, o, warn};
 use std::fmt;
@@ -43,7 +43,7 @@
     /// The listening address could not be taken, or another call to the system failed.
     Io(&'static str, std::io::Error),
     /// The settings make no sense.
-    Settings(reedwalk_core::SettingsError),
+    Settings(reedwalk_scheduler::SettingsError),
     /// The list of the start can't be read.
     Known(serde_json::Error),
     /// A contract makes no sense.
@@ -163,11 +163,11 @@
     let mut deployment = config.deployment;
     if operator.engines == EngineWire::FlightSql {
         // Flight SQL has no notes: their absence must not be taken for an engine's silence.
-        deployment.core.engine.notes_every = None;
+        deployment.core.engine.progress_interval = None;
     }
     let deployment = Arc::new(deployment);
     let sockets = Arc::new(deployment.sockets.clone());
-    let mut gateway = Gateway::new(deployment.core.clone(), config.seed).map_err(ServeError::Settings)?;
+    let mut gateway = Scheduler::new(deployment.core.clone(), config.seed).map_err(ServeError::Settings)?;
     let (queue, inputs) = mpsc::channel(QUEUE_CAPACITY);
     let cores = Cores::start(operator.cores).map_err(|e| ServeError::Io("cores", e))?;
     // Only a front end that operators can reach has a second process beside it, or words to keep.
@@ -182,8 +182,8 @@
         tokio::spawn(succession.watch(stages));
     }
     let figures = Arc::new(Figures::new(&sockets.classes));
-    let window = deployment.core.classes.iter().filter_map(|c| match c.effect {
-        Effect::Keyed { memory, .. } => Some(memory),
+    let window = deployment.core.classes.iter().filter_map(|c| match c.idempotency {
+        Idempotency::Keyed { window: memory, .. } => Some(memory),
         _ => None,
     });
     let link = link(&operator, window.max().unwrap_or_default(), log)?;
@@ -234,7 +234,7 @@
                 .map_err(|e| fault(format!("'state': {}: {e}", terms.folder.display())))?;
             let memory = state::find(&folder, owner, &state_log).memory;
             let now = unix_ms();
-            gateway.recall(&state::paces(&memory, &sockets.classes, now));
+            gateway.restore_class_stats(&state::paces(&memory, &sockets.classes, now));
             for input in state::engines(&memory, &members, now) {
                 // It is told after the list, and before anything that comes from outside.
                 let _ = queue.try_send(input);
@@ -266,7 +266,7 @@
     let connections = (config.limits.sockets as f64 * ENGINES_SHARE) as usize;
     let links: Box<dyn EngineTransport> = match operator.engines {
         EngineWire::Resp => {
-            let notes = deployment.core.engine.notes_every;
+            let notes = deployment.core.engine.progress_interval;
             Box::new(resp::Transport::new(
                 sockets.clone(),
                 connections,
--- a/gateway/src/state/mod.rs
+++ b/gateway/src/state/mod.rs
@@ -10,12 +10,12 @@
 use crate::message::{BrokerEvent, PersistedEvent};
 use crate::store::unix_ms;
 use folder::Folder;
-use reedwalk_core::{ClassPace, Effect, Look};
 use reedwalk_recovery::Millis;
 use reedwalk_recovery::keep::{Found, Keeper, look};
 use reedwalk_recovery::memory::{ClassMemory, EngineMemory, KeyMemory, Memory};
 use reedwalk_recovery::record::Owner;
 use reedwalk_recovery::trust::{Against, Fact, Source, Use, worth};
+use reedwalk_scheduler::{ClassLatencyStats, EngineObservation, Idempotency, SampledMean};
 use slog::{Logger, error, info, warn};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -49,8 +49,8 @@
     let host = files.map(|f| std::fs::read(f).unwrap_or_default());
     // Of the settings only what a memory rests on: an upgrade that brings more of them takes nothing away.
     let classes = config.deployment.sockets.classes.iter().zip(&config.deployment.core.classes);
-    let classes = classes.map(|(name, class)| match class.effect {
-        Effect::Keyed { scope, memory } => format!("{name} {scope:?} {memory:?}"),
+    let classes = classes.map(|(name, class)| match class.idempotency {
+        Idempotency::Keyed { scope, window: memory } => format!("{name} {scope:?} {memory:?}"),
         _ => name.clone(),
     });
     Owner { host: number(host), front: number([config.name.as_bytes()]), settings: number(classes) }
@@ -70,14 +70,14 @@
 }
 
 /// What a front end tells of its classes from before.
-pub fn paces(memory: &Memory, names: &[String], now: Millis) -> Vec<Option<ClassPace>> {
+pub fn paces(memory: &Memory, names: &[String], now: Millis) -> Vec<Option<ClassLatencyStats>> {
     let against = Against { clock: memory.written > now, ..Against::default() };
     let prior = worth(Fact::Pace, Source::Disk, now.saturating_sub(memory.written), 0, against);
     let pace = |name: &String| {
         let Use::Prior(weight) = prior else { return None };
         let class = memory.classes.iter().find(|c| c.name == *name)?;
-        let faded = |(value, count): (f64, f64)| (value, count * weight);
-        Some(ClassPace { exec: faded(class.exec), width: faded(class.width) })
+        let faded = |(mean, samples): (f64, f64)| SampledMean { mean, samples: samples * weight };
+        Some(ClassLatencyStats { execution_time: faded(class.exec), work_per_thread: faded(class.width) })
     };
     names.iter().map(pace).collect()
 }
@@ -206,7 +206,12 @@
         Ok(())
     }
 
-    fn memory(&self, classes: &[ClassPace], looks: &[Look], keys: Vec<KeyMemory>) -> Memory {
+    fn memory(
+        &self,
+        classes: &[ClassLatencyStats],
+        looks: &[EngineObservation],
+        keys: Vec<KeyMemory>,
+    ) -> Memory {
         let mut engines = Vec::new();
         self.members.each(|name, engine, started| {
             let Some(look) = looks.iter().find(|l| l.engine == engine) else { return };
@@ -214,14 +219,14 @@
                 id: name.to_owned(),
                 started: started.map_or(0, |t| t.0 / 1000),
                 slowdown: look.slowdown,
-                away_until: look.away_until.map_or(0, |t| t.0 / 1000),
+                away_until: look.ejected_until.map_or(0, |t| t.0 / 1000),
             });
         });
-        let class = |(name, pace): (&String, &ClassPace)| ClassMemory {
+        let class = |(name, pace): (&String, &ClassLatencyStats)| ClassMemory {
             name: name.clone(),
-            exec: pace.exec,
+            exec: (pace.execution_time.mean, pace.execution_time.samples),
             best: None,
-            width: pace.width,
+            width: (pace.work_per_thread.mean, pace.work_per_thread.samples),
         };
         let classes = self.classes.iter().zip(classes).map(class).collect();
         let (written, serial) = (unix_ms(), self.members.serial());
--- a/gateway/tests/broker.rs
+++ b/gateway/tests/broker.rs
@@ -5,7 +5,6 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
-use reedwalk_core::{ClassId, EngineEntry, EngineId, Gateway, Outcome};
 use reedwalk_gateway::broker::{
     Broker, BrokerContext, BrokerOptions, PendingResponse, QUEUE_CAPACITY, RequestQueue,
 };
@@ -17,6 +16,7 @@
 };
 use reedwalk_gateway::shutdown::Phase;
 use reedwalk_membership::Part;
+use reedwalk_scheduler::{ClassId, EngineEntry, EngineId, Outcome, Scheduler};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
@@ -45,7 +45,7 @@
         let (deed, after) = self.deeds[orders.len() % self.deeds.len()];
         let outcome = match deed {
             0..4 => Some(Outcome::Ok),
-            4 => Some(Outcome::Full),
+            4 => Some(Outcome::Rejected),
             5 => Some(Outcome::Error),
             6 => Some(Outcome::Reset),
             7 => Some(Outcome::ConnectFailed),
@@ -116,7 +116,7 @@
     let (queue, inputs) = mpsc::channel(QUEUE_CAPACITY);
     let orders = Orders::default();
     let engines = Engines { deeds, orders: orders.clone(), queue: queue.clone(), stopped };
-    let gateway = Gateway::new(deployment.core.clone(), 7).unwrap();
+    let gateway = Scheduler::new(deployment.core.clone(), 7).unwrap();
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let figures = Arc::new(Figures::new(&deployment.sockets.classes));
     let (_alone, part) = watch::channel(Part::default());
--- a/gateway/tests/contracts.rs
+++ b/gateway/tests/contracts.rs
@@ -2,11 +2,11 @@
 
 mod support;
 
-use reedwalk_core::ClassId;
 use reedwalk_gateway::contracts::{Contract, Contracts};
 use reedwalk_gateway::message::{QuotaDecision, Rejection};
 use reedwalk_gateway::operator::{EngineWire, Operator, Store as Place};
 use reedwalk_gateway::store::link::{Link, Terms};
+use reedwalk_scheduler::ClassId;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/gateway/tests/members.rs
+++ b/gateway/tests/members.rs
@@ -4,13 +4,13 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
-use reedwalk_core::EngineState;
 use reedwalk_gateway::drain_guard::DrainGuards;
 use reedwalk_gateway::figures::Figures;
 use reedwalk_gateway::members::Members;
 use reedwalk_gateway::members::keep::Keep;
 use reedwalk_gateway::message::{EndpointMailbox, EndpointUpdate};
 use reedwalk_gateway::names::list::Book;
+use reedwalk_scheduler::EngineState;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::path::Path;
@@ -126,16 +126,16 @@
                 let address = format!("10.1.0.{engine}:8080").parse().unwrap();
                 let known = process.known.values().find(|update| update.endpoint.address == address);
                 let want = match (*state, out.contains(engine)) {
-                    (2, _) => EngineState::Gone,
+                    (2, _) => EngineState::Removed,
                     (0, false) => EngineState::InService,
                     _ => EngineState::Draining,
                 };
                 let Some(EndpointUpdate { endpoint, drain_guard }) = known else {
-                    prop_assert_eq!(want, EngineState::Gone);
+                    prop_assert_eq!(want, EngineState::Removed);
                     continue;
                 };
                 prop_assert_eq!(endpoint.entry.state, want, "engine {}", engine);
-                let shut = want == EngineState::Gone || out.contains(engine);
+                let shut = want == EngineState::Removed || out.contains(engine);
                 // One that drains by the list alone may still be written to for a while, or has been out before.
                 if shut || want == EngineState::InService {
                     prop_assert_eq!(
--- a/gateway/tests/names.rs
+++ b/gateway/tests/names.rs
@@ -3,7 +3,6 @@
 mod support;
 
 use hickory_proto::op::ResponseCode;
-use reedwalk_core::{EngineState, Time};
 use reedwalk_gateway::drain_guard::DrainGuards;
 use reedwalk_gateway::figures::Figures;
 use reedwalk_gateway::members::Members;
@@ -11,6 +10,7 @@
 use reedwalk_gateway::names::dns::{BadAnswer, query, read};
 use reedwalk_gateway::names::list::Book;
 use reedwalk_gateway::names::{Source, watch};
+use reedwalk_scheduler::{EngineState, Time};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use support::names::{Engine, List, answer, deaf_server, late_server, server};
@@ -45,7 +45,10 @@
     // An address that is used again belongs to a new engine.
     let changes = told(&mut book, 3, &[engine("s-0", 1), engine("s-9", 2)]);
     let states: Vec<_> = changes.iter().map(|c| (c.entry.state, c.address.ip().to_string())).collect();
-    assert_eq!(states, [(EngineState::InService, "10.1.0.2".into()), (EngineState::Gone, "10.1.0.2".into())]);
+    assert_eq!(
+        states,
+        [(EngineState::InService, "10.1.0.2".into()), (EngineState::Removed, "10.1.0.2".into())]
+    );
     assert_ne!(changes[0].entry.engine, changes[1].entry.engine);
     // Draining and a late start are told; what has not changed is not.
     let changes = told(
@@ -71,7 +74,7 @@
     assert!(book.refresh(&known).unwrap().is_empty());
     known["seq"] = 3.into();
     let changes = book.refresh(&known).unwrap();
-    assert_eq!(changes.iter().map(|c| c.entry.state).collect::<Vec<_>>(), [EngineState::Gone]);
+    assert_eq!(changes.iter().map(|c| c.entry.state).collect::<Vec<_>>(), [EngineState::Removed]);
     assert_eq!(book.serial(), Some(3));
 }
 
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -178,8 +178,8 @@
 
 #[test]
 fn attempt_carries_its_fields_and_leaves_out_what_is_not_set() {
-    use reedwalk_core::{ClassId, EngineId};
     use reedwalk_gateway::message::{AttemptId, AttemptRequest};
+    use reedwalk_scheduler::{ClassId, EngineId};
     use std::time::Duration;
     let now = tokio::time::Instant::now();
     let attempt = |memory_mb, key: Option<&'static str>| AttemptRequest {
@@ -223,8 +223,8 @@
         (Some(0.61), Some(7.0), None)
     );
     let note = |fields| reply(&["t", "status", fields, ""]).unwrap().note;
-    assert_eq!(note("why=pct,datum=0.5"), Some(reedwalk_core::Note::Progress(0.5)));
-    assert_eq!(note("why=queued,datum=2"), Some(reedwalk_core::Note::WaitsForLoad));
+    assert_eq!(note("why=pct,datum=0.5"), Some(reedwalk_scheduler::ProgressReport::Done(0.5)));
+    assert_eq!(note("why=queued,datum=2"), Some(reedwalk_scheduler::ProgressReport::WaitingForLoad));
     assert_eq!(note("-"), None);
     assert!(reply(&["t", "299", "-", ""]).is_err() && reply(&["t"]).is_err());
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -4,7 +4,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use reedwalk_core::*;
+use reedwalk_scheduler::*;
 use serde::Deserialize;
 use std::fmt;
 use std::time::Duration;
@@ -230,13 +230,13 @@
     settings.ordinal = wire.ordinal;
     settings.zone = wire.zone.map(ZoneId);
     settings.tick = span(wire.tick_us);
-    settings.discovery = if wire.discovery == "ask" { Discovery::Asked } else { Discovery::Pushed };
+    settings.discovery = if wire.discovery == "ask" { Discovery::Subscribed } else { Discovery::Pushed };
     settings.tenants =
         wire.tenants.iter().map(|t| TenantSettings { quota_per_s: sound(t.quota_per_s) }).collect();
     let limits = &wire.limits;
     settings.limits = Limits {
         cancel: limits.cancel,
-        probes: limits.probing,
+        health_checks: limits.probing,
         max_attempts: limits.max_attempts.unwrap_or(u32::MAX),
         max_retry_after: limits.retry_after.then(|| span(limits.max_retry_after_us)),
     };
@@ -244,15 +244,15 @@
     let times = [
         (&mut rules.answer_slack, read.answer_slack_us),
         (&mut rules.drain_grace, read.drain_grace_us),
-        (&mut rules.cold_for, read.ramp_time_us),
-        (&mut rules.tip_window, read.fall_us),
+        (&mut rules.slow_start_duration, read.ramp_time_us),
+        (&mut rules.overload_window, read.fall_us),
         (&mut rules.order_settle, read.order_settle_us),
     ];
     for (field, told) in times {
         *field = told.map_or(*field, span);
     }
-    rules.cold_from = read.cold_from.map_or(rules.cold_from, sound);
-    rules.tip_multiple = read.tip_multiple.map_or(rules.tip_multiple, sound);
+    rules.slow_start_from = read.cold_from.map_or(rules.slow_start_from, sound);
+    rules.overload_multiple = read.tip_multiple.map_or(rules.overload_multiple, sound);
     rules.retry_budget = read.extra_window_us.map(|window| RetryBudget {
         free: read.free_resends.map_or(0.0, sound),
         ratio: read.extra_ratio.map_or(0.0, sound),
@@ -262,10 +262,10 @@
         grants: own.grants,
         priorities: own.priorities,
         max_grant_share: own.max_grant_share.map_or(1.0, sound),
-        notes_every: (own.progress_us > 0.0).then(|| span(own.progress_us)),
-        idle_close: (limits.keepalive_us > 0.0).then(|| span(limits.keepalive_us)),
+        progress_interval: (own.progress_us > 0.0).then(|| span(own.progress_us)),
+        idle_timeout: (limits.keepalive_us > 0.0).then(|| span(limits.keepalive_us)),
     };
-    settings.over_share_worth = wire.over_share_worth.map_or(1.0, sound);
+    settings.over_quota_weight = wire.over_share_worth.map_or(1.0, sound);
     settings
 }
 
@@ -276,15 +276,15 @@
         _ => KeyScope::All,
     };
     ClassSettings {
-        aim: span(wire.slo_us),
-        aim_stretch: sound(wire.aim_stretch),
+        latency_objective: span(wire.slo_us),
+        objective_stretch: sound(wire.aim_stretch),
         deadline: span(wire.give_up_us),
-        worth: sound(wire.value),
-        late_worth: sound(wire.late_value),
-        effect: match wire.effect.as_str() {
-            "repeatable" => Effect::Safe,
-            "by_key" => Effect::Keyed { scope, memory: span(wire.memory_span_us) },
-            _ => Effect::Once,
+        priority_weight: sound(wire.value),
+        late_weight: sound(wire.late_value),
+        idempotency: match wire.effect.as_str() {
+            "repeatable" => Idempotency::Idempotent,
+            "by_key" => Idempotency::Keyed { scope, window: span(wire.memory_span_us) },
+            _ => Idempotency::NonIdempotent,
         },
         in_order: wire.in_order,
         zones: wire.localities_open.as_ref().map(|z| z.iter().copied().map(ZoneId).collect()),
--- /dev/null
+++ b/src/state/mean.rs
@@ -0,0 +1,23 @@
+//! A running mean; how many samples it remembers is the caller's choice.
+
+/// The plain mean of the first samples, and an exponential one from then on.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct Mean {
+    /// Number of samples, faded with time.
+    pub(crate) samples: f64,
+    /// The mean.
+    pub(crate) value: f64,
+}
+
+impl Mean {
+    /// Adds a sample; the mean remembers `memory` samples.
+    pub(crate) fn add(&mut self, sample: f64, memory: f64) {
+        self.samples = (self.samples + 1.0).min(memory);
+        self.value += (sample - self.value) / self.samples;
+    }
+
+    /// The mean, if it rests on so many samples.
+    pub(crate) fn get(&self, min_samples: f64) -> Option<f64> {
+        (self.samples >= min_samples).then_some(self.value)
+    }
+}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! The one fixture of the tests: a gateway, its clock, and what it did.
 #![allow(dead_code)]
 
-use reedwalk_core::*;
+use reedwalk_scheduler::*;
 use std::time::Duration;
 
 pub fn ms(ms: u64) -> Duration {
@@ -11,7 +11,7 @@
 /// Two classes: a quick one on one thread, worth 1; a long one on four, worth 10.
 pub fn settings() -> Settings {
     let quick = ClassSettings::new(ms(300), ms(3000));
-    let long = ClassSettings { worth: 10.0, threads: 4, ..ClassSettings::new(ms(3000), ms(15000)) };
+    let long = ClassSettings { priority_weight: 10.0, threads: 4, ..ClassSettings::new(ms(3000), ms(15000)) };
     let kinds = vec![KindSettings { cores: 16, memory_mb: 32768.0 }];
     let mut settings = Settings::new(vec![quick, long], kinds);
     settings.limits.cancel = true;
@@ -19,7 +19,7 @@
 }
 
 pub struct Rig {
-    pub gateway: Gateway,
+    pub gateway: Scheduler,
     pub now: u64,
     pub actions: Vec<Action>,
     pub next: u64,
@@ -32,10 +32,10 @@
     }
 
     pub fn with_seed(settings: Settings, engines: u32, seed: u64) -> Self {
-        let gateway = Gateway::new(settings, seed).expect("sound settings");
+        let gateway = Scheduler::new(settings, seed).expect("sound settings");
         let mut rig = Self { gateway, now: 1_000_000_000, actions: Vec::new(), next: 0 };
         let entries = (0..engines).map(|e| EngineEntry::new(EngineId(e))).collect();
-        rig.step(&[Event::Engines { scope: ListScope::Cached, entries }]);
+        rig.step(&[Event::Endpoints { scope: EndpointScope::Cached, entries }]);
         rig
     }
 
@@ -52,7 +52,7 @@
         let (from, end) = (self.actions.len(), self.now + span.as_micros() as u64);
         while self.now < end {
             self.now = (self.now + 5000).min(end);
-            self.step(&[Event::Woken]);
+            self.step(&[Event::WakeUp]);
         }
         self.actions[from..].to_vec()
     }
@@ -74,7 +74,14 @@
     pub fn end(&mut self, request: RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let closed = outcome == Outcome::Ok;
         let attempt = AttemptNo(attempt);
-        self.step(&[Event::Ended(Ended { request, attempt, outcome, closed, bill: None, load: None })])
+        self.step(&[Event::Ended(AttemptEnded {
+            request,
+            attempt,
+            outcome,
+            closed,
+            usage: None,
+            load: None,
+        })])
     }
 
     /// Serves so many of a class, each in a given time, one after the other.
@@ -92,7 +99,7 @@
     }
 
     pub fn refused(&self, id: RequestId) -> bool {
-        self.actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+        self.actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
     }
 
     pub fn failed(&self, id: RequestId) -> bool {
@@ -106,7 +113,7 @@
     /// Engines that it put away by its own evidence, and whether for their silence.
     pub fn suspected(&self) -> Vec<(EngineId, bool)> {
         let suspect = |a: &Action| match a {
-            Action::Suspect { engine, silent, .. } => Some((*engine, *silent)),
+            Action::EngineEjected { engine, unresponsive: silent, .. } => Some((*engine, *silent)),
             _ => None,
         };
         self.actions.iter().filter_map(suspect).collect()
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use reedwalk_core::*;
+use reedwalk_scheduler::*;
 
 /// Serves a steady trickle for a while: `act` says how an attempt at an engine ends after 50 ms, if at all.
 fn trickle(rig: &mut Rig, requests: usize, act: impl Fn(EngineId) -> Option<Outcome>) -> Vec<RequestId> {
@@ -92,11 +92,12 @@
 #[test]
 fn an_attempt_that_misses_its_notes_is_tried_elsewhere_though_its_engine_is_well() {
     let mut settings = settings();
-    settings.engine.notes_every = Some(ms(500));
+    settings.engine.progress_interval = Some(ms(500));
     let mut rig = Rig::new(settings, 2);
     trickle(&mut rig, 30, |_| Some(Outcome::Ok));
     let (lost, long) = (rig.arrive(1), rig.arrive(1));
-    let note = |id| Event::Noted { request: id, attempt: AttemptNo(0), note: Note::WaitsForMemory };
+    let note =
+        |id| Event::Progress { request: id, attempt: AttemptNo(0), report: ProgressReport::WaitingForMemory };
     for _ in 0..5 {
         rig.pass(ms(400));
         rig.step(&[note(long)]);
@@ -114,10 +115,10 @@
 #[test]
 fn an_engine_that_hangs_during_a_list_outage_is_found_and_left() {
     let mut settings = settings();
-    settings.discovery = Discovery::Asked;
+    settings.discovery = Discovery::Subscribed;
     let mut rig = Rig::new(settings, 3);
     trickle(&mut rig, 30, |_| Some(Outcome::Ok));
-    rig.step(&[Event::ListFailed]);
+    rig.step(&[Event::EndpointListFailed]);
     let act = |e: EngineId| (e.0 != 0).then_some(Outcome::Ok);
     let stuck = trickle(&mut rig, 40, act);
     assert!(rig.suspected().iter().any(|s| s.1), "for its silence");
@@ -132,7 +133,7 @@
     let mut rig = Rig::new(settings(), 3);
     rig.serve(0, 200, ms(20));
     let entry = EngineEntry { started: Some(Time(rig.now)), ..EngineEntry::new(EngineId(3)) };
-    rig.step(&[Event::Engines { scope: ListScope::Changes, entries: vec![entry] }]);
+    rig.step(&[Event::Endpoints { scope: EndpointScope::Changes, entries: vec![entry] }]);
     let act = |e: EngineId| Some(if e.0 == 0 { Outcome::Error } else { Outcome::Ok });
     let ids = trickle(&mut rig, 80, act);
     let cold = share(&rig, &ids, 3);
@@ -158,9 +159,10 @@
     let mut rig = Rig::new(settings(), 4);
     trickle(&mut rig, 30, |_| Some(Outcome::Ok));
     trickle(&mut rig, 60, |_| None);
-    let second = rig.actions.iter().position(|a| matches!(a, Action::Suspect { .. })).unwrap() + 1;
+    let second = rig.actions.iter().position(|a| matches!(a, Action::EngineEjected { .. })).unwrap() + 1;
     let second =
-        rig.actions[second..].iter().position(|a| matches!(a, Action::Suspect { .. })).unwrap() + second;
+        rig.actions[second..].iter().position(|a| matches!(a, Action::EngineEjected { .. })).unwrap()
+            + second;
     assert!(sends(&rig.actions[second..]).len() > 10, "the other half stays in use");
 }
 
@@ -172,7 +174,14 @@
             let request = rig.arrive(0);
             rig.pass(ms(40));
             let (attempt, outcome) = (AttemptNo(0), Outcome::Ok);
-            rig.step(&[Event::Ended(Ended { request, attempt, outcome, closed: true, bill: None, load })]);
+            rig.step(&[Event::Ended(AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                closed: true,
+                usage: None,
+                load,
+            })]);
         }
         sends(&rig.actions)
     };
@@ -183,13 +192,13 @@
 #[test]
 fn an_answer_that_arrives_after_its_cancel_ends_the_request() {
     let mut settings = settings();
-    settings.engine.notes_every = Some(ms(500));
+    settings.engine.progress_interval = Some(ms(500));
     let mut rig = Rig::new(settings, 2);
     rig.serve(1, 10, ms(500));
     let id = rig.arrive(1);
     rig.pass(ms(500));
-    let (attempt, note) = (AttemptNo(0), Note::Progress(0.01));
-    rig.step(&[Event::Noted { request: id, attempt, note }]);
+    let (attempt, note) = (AttemptNo(0), ProgressReport::Done(0.01));
+    rig.step(&[Event::Progress { request: id, attempt, report: note }]);
     assert!(rig.cancelled(id), "a hundredth done in the usual time: a bad plan");
     rig.end(id, 0, Outcome::Ok);
     rig.pass(ms(200));
@@ -200,7 +209,7 @@
 #[test]
 fn a_bad_plan_is_called_off_once_and_not_where_that_does_not_help() {
     let mut settings = settings();
-    settings.engine.notes_every = Some(ms(500));
+    settings.engine.progress_interval = Some(ms(500));
     let mut rig = Rig::new(settings, 2);
     rig.serve(1, 10, ms(500));
     let costly = |rig: &mut Rig| {
@@ -208,7 +217,7 @@
         for attempt in 0..2 {
             rig.pass(ms(500));
             let attempt = AttemptNo(attempt);
-            rig.step(&[Event::Noted { request: id, attempt, note: Note::Progress(0.1) }]);
+            rig.step(&[Event::Progress { request: id, attempt, report: ProgressReport::Done(0.1) }]);
             if rig.sent(id).len() as u32 == attempt.0 + 1 && rig.cancelled(id) && attempt.0 == 0 {
                 rig.end(id, 0, Outcome::Cancelled);
             }
@@ -228,7 +237,7 @@
     settings.classes[0].zones = Some(vec![ZoneId(0)]);
     let mut rig = Rig::new(settings, 2);
     let id = rig.arrive(0);
-    rig.step(&[Event::Engines { scope: ListScope::Whole, entries: Vec::new() }]);
+    rig.step(&[Event::Endpoints { scope: EndpointScope::Complete, entries: Vec::new() }]);
     rig.pass(ms(3005));
     assert!(rig.refused(id) && rig.sent(id).is_empty());
 }
@@ -239,7 +248,7 @@
     settings.classes[1].is_load = true;
     let mut rig = Rig::new(settings, 1);
     let load = |rig: &mut Rig, group| {
-        let arrival = Arrival { group: Some(GroupId(group)), ..rig.arrival(1) };
+        let arrival = Arrival { table_group: Some(GroupId(group)), ..rig.arrival(1) };
         rig.step(&[Event::Arrival(arrival.clone())]);
         arrival.request
     };
@@ -252,7 +261,7 @@
 #[test]
 fn late_loads_do_not_crowd_out_what_is_in_time() {
     let mut settings = settings();
-    settings.classes[1].late_worth = 0.6;
+    settings.classes[1].late_weight = 0.6;
     let mut rig = Rig::new(settings, 0);
     let long = rig.arrive(1);
     rig.pass(ms(3000));
@@ -293,7 +302,7 @@
     let mut rig = Rig::new(settings, 4);
     let mut steps = Vec::new();
     for round in 0..2000u64 {
-        let arrival = Arrival { key: Some(KeyId(round)), ..rig.arrival(0) };
+        let arrival = Arrival { ordering_key: Some(KeyId(round)), ..rig.arrival(0) };
         let id = arrival.request;
         rig.step(&[Event::Arrival(arrival)]);
         rig.pass(ms(20));
@@ -301,10 +310,10 @@
         rig.actions.clear();
         if round % 100 == 0 {
             let entries = (0..4).map(|e| EngineEntry::new(EngineId(round as u32 + e))).collect();
-            rig.step(&[Event::Engines { scope: ListScope::Whole, entries }]);
+            rig.step(&[Event::Endpoints { scope: EndpointScope::Complete, entries }]);
         }
         if round == 200 || round == 1990 {
-            steps.push(rig.gateway.held_state());
+            steps.push(rig.gateway.tracked_items());
         }
     }
     assert!(steps[1] <= steps[0] + 60, "grew from {} to {}", steps[0], steps[1]);
@@ -322,7 +331,7 @@
 #[test]
 fn a_light_gateway_keeps_to_its_connections_where_engines_close_idle_ones() {
     let mut settings = settings();
-    settings.engine.idle_close = Some(ms(15_000));
+    settings.engine.idle_timeout = Some(ms(15_000));
     let mut rig = Rig::new(settings, 30);
     let met = |rig: &Rig, ids: &[RequestId]| (0..31).filter(|e| share(rig, ids, *e) > 0.0).count();
     let ids = trickle(&mut rig, 60, |_| Some(Outcome::Ok));
@@ -332,7 +341,7 @@
     assert_eq!(met(&rig, &together), 4);
     together.iter().for_each(|id| drop(rig.end(*id, 0, Outcome::Ok)));
     let entry = EngineEntry { started: Some(Time(rig.now - 11_000_000)), ..EngineEntry::new(EngineId(30)) };
-    rig.step(&[Event::Engines { scope: ListScope::Changes, entries: vec![entry] }]);
+    rig.step(&[Event::Endpoints { scope: EndpointScope::Changes, entries: vec![entry] }]);
     let ids = trickle(&mut rig, 20, |_| Some(Outcome::Ok));
     assert!(share(&rig, &ids, 30) > 0.0, "the new one is left out");
 }
@@ -358,7 +367,7 @@
     let mut rig = Rig::new(settings, 12);
     for _ in 0..2 {
         let id = rig.arrive(1);
-        (0..3).for_each(|attempt| drop(rig.end(id, attempt, Outcome::Full)));
+        (0..3).for_each(|attempt| drop(rig.end(id, attempt, Outcome::Rejected)));
     }
     rig.pass(ms(300));
     let before = sends(&rig.actions).len();
@@ -384,7 +393,14 @@
         rig.pass(ms(20));
         let load = Some(LoadReport { cpu: Some(cpu), ..LoadReport::default() });
         let (attempt, outcome) = (AttemptNo(0), Outcome::Ok);
-        rig.step(&[Event::Ended(Ended { request, attempt, outcome, closed: true, bill: None, load })]);
+        rig.step(&[Event::Ended(AttemptEnded {
+            request,
+            attempt,
+            outcome,
+            closed: true,
+            usage: None,
+            load,
+        })]);
     }
 }
 
@@ -428,7 +444,7 @@
     let mut rig = Rig::new(settings, 1);
     let priority = |rig: &Rig, id| {
         let of = |a: &Action| match a {
-            Action::Terms { request, priority, .. } if *request == id => Some(*priority),
+            Action::GrantResources { request, priority, .. } if *request == id => Some(*priority),
             _ => None,
         };
         rig.actions.iter().filter_map(of).next_back()
@@ -441,14 +457,14 @@
 #[test]
 fn an_attempt_that_would_outlast_its_client_is_not_run_to_the_end() {
     let mut settings = settings();
-    settings.engine.notes_every = Some(ms(500));
+    settings.engine.progress_interval = Some(ms(500));
     let mut rig = Rig::new(settings, 2);
     rig.serve(1, 10, ms(500));
     let id = rig.arrive(1);
     for attempt in 0..3 {
         rig.pass(ms(500));
-        let (number, note) = (AttemptNo(attempt), Note::Progress(0.01));
-        rig.step(&[Event::Noted { request: id, attempt: number, note }]);
+        let (number, note) = (AttemptNo(attempt), ProgressReport::Done(0.01));
+        rig.step(&[Event::Progress { request: id, attempt: number, report: note }]);
         rig.end(id, attempt, Outcome::Cancelled);
     }
     assert_eq!(rig.sent(id).len(), 3, "two more tries, each with a new plan");
@@ -465,7 +481,7 @@
             let mut rig = Rig::with_seed(settings, 75, *seed);
             rig.serve(1, 8, ms(500));
             let entry = EngineEntry { started: Some(Time(rig.now)), ..EngineEntry::new(EngineId(99)) };
-            rig.step(&[Event::Engines { scope: ListScope::Changes, entries: vec![entry] }]);
+            rig.step(&[Event::Endpoints { scope: EndpointScope::Changes, entries: vec![entry] }]);
             let ids: Vec<_> = (0..3).map(|_| rig.arrive(1)).collect();
             rig.pass(ms(100));
             ids.iter().any(|id| rig.sent(*id).contains(&EngineId(99)))
@@ -518,7 +534,7 @@
 #[test]
 fn a_class_whose_mean_is_past_its_aim_is_held_for_a_moment_before_it_is_refused() {
     let mut settings = settings();
-    settings.classes[1].late_worth = 0.0;
+    settings.classes[1].late_weight = 0.0;
     let mut rig = Rig::new(settings, 1);
     // Long queries take twice their aim here, so that their targets lie before their arrival.
     for _ in 0..3 {
@@ -528,7 +544,7 @@
     }
     // The one engine is full for a tenth of a second.
     let id = rig.arrive(1);
-    rig.end(id, 0, Outcome::Full);
+    rig.end(id, 0, Outcome::Rejected);
     rig.pass(ms(60));
     assert!(!rig.refused(id), "a moment without room is no overload");
     rig.pass(ms(60));
@@ -554,10 +570,11 @@
     settings.engine.priorities = true;
     let mut rig = Rig::new(settings, 1);
     let (left, due) = (rig.arrive(1), rig.arrive(0));
-    rig.step(&[Event::Left(left)]);
+    rig.step(&[Event::ClientDisconnected(left)]);
     rig.pass(ms(2995));
     for id in [left, due] {
-        let fell = |a: &Action| matches!(a, Action::Terms { request, priority: 0, .. } if *request == id);
+        let fell =
+            |a: &Action| matches!(a, Action::GrantResources { request, priority: 0, .. } if *request == id);
         assert!(rig.actions.iter().any(fell), "{id:?} goes on behind all else");
     }
 }
--- a/tests/hearsay.rs
+++ b/tests/hearsay.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::*;
-use reedwalk_core::*;
+use reedwalk_scheduler::*;
 
 fn hearsay(engine: u32, lasts: u64) -> Event {
-    Event::Hearsay { engine: EngineId(engine), lasts: ms(lasts) }
+    Event::EjectedByGossip { engine: EngineId(engine), duration: ms(lasts) }
 }
 
 /// Thin traffic: a query each 200 ms, served in 20. The engines that it went to.
@@ -27,7 +27,7 @@
     thin(&mut rig, 10);
     rig.pass(ms(1000));
     rig.step(&[hearsay(3, 4000)]);
-    assert_eq!(rig.gateway.avoided(), 1);
+    assert_eq!(rig.gateway.unavailable_engines(), 1);
     let went = thin(&mut rig, 19);
     assert!(!went.contains(&EngineId(3)), "{went:?}");
     rig.pass(ms(300));
@@ -46,7 +46,7 @@
     for _ in 0..10 {
         rig.step(&[hearsay(0, 8000), hearsay(1, 8000)]);
         let ids: Vec<_> = (0..4).map(|_| rig.arrive(0)).collect();
-        assert!(ids.iter().all(|id| !rig.sent(*id).is_empty()) || rig.gateway.avoided() < 2);
+        assert!(ids.iter().all(|id| !rig.sent(*id).is_empty()) || rig.gateway.unavailable_engines() < 2);
         rig.pass(ms(50));
         for id in ids.into_iter().filter(|id| !rig.sent(*id).is_empty()).collect::<Vec<_>>() {
             rig.end(id, 0, Outcome::Ok);
@@ -55,7 +55,7 @@
     let mut rig = Rig::new(settings(), 5);
     rig.serve(0, 40, ms(20));
     rig.step(&[hearsay(3, 8000)]);
-    assert_eq!(rig.gateway.avoided(), 0, "served a moment ago");
+    assert_eq!(rig.gateway.unavailable_engines(), 0, "served a moment ago");
     let ids: Vec<_> = (0..10).map(|_| rig.arrive(0)).collect();
     assert!(ids.iter().any(|id| rig.sent(*id) == [EngineId(3)]));
 }
@@ -67,12 +67,12 @@
         rig.pass(ms(2000));
         let all: Vec<_> = (0..engines).map(|e| hearsay(e, 8000)).collect();
         rig.step(&all);
-        assert_eq!(rig.gateway.avoided(), most, "of {engines}");
+        assert_eq!(rig.gateway.unavailable_engines(), most, "of {engines}");
         // Said again and again, it is the same ones.
         (0..20).for_each(|_| _ = rig.step(&all));
-        assert_eq!(rig.gateway.avoided(), most, "of {engines}");
+        assert_eq!(rig.gateway.unavailable_engines(), most, "of {engines}");
         rig.pass(ms(8010));
-        assert_eq!(rig.gateway.avoided(), 0);
+        assert_eq!(rig.gateway.unavailable_engines(), 0);
     }
 }
 
@@ -82,9 +82,9 @@
     rig.pass(ms(2000));
     rig.step(&[hearsay(3, 3_600_000), hearsay(77, 1000)]);
     rig.pass(ms(7990));
-    assert_eq!(rig.gateway.avoided(), 1);
+    assert_eq!(rig.gateway.unavailable_engines(), 1);
     rig.pass(ms(20));
-    assert_eq!(rig.gateway.avoided(), 0);
+    assert_eq!(rig.gateway.unavailable_engines(), 0);
     assert_eq!(rig.suspected(), [], "it has found nothing itself");
 }
 
@@ -95,7 +95,7 @@
     let mut rig = Rig::new(settings, 4);
     rig.serve(0, 120, ms(20));
     rig.serve(0, 20, ms(200));
-    rig.step(&[Event::Living(living)]);
+    rig.step(&[Event::LiveGateways(living)]);
     let ids: Vec<_> = (0..40).map(|_| rig.arrive(0)).collect();
     ids.iter().filter(|id| !rig.sent(**id).is_empty()).count()
 }
@@ -113,9 +113,9 @@
     settings.gateways = 20;
     let mut rig = Rig::new(settings, 4);
     rig.serve(0, 60, ms(20));
-    living.into_iter().for_each(|n| _ = rig.step(&[Event::Living(n)]));
+    living.into_iter().for_each(|n| _ = rig.step(&[Event::LiveGateways(n)]));
     let entry = EngineEntry { started: Some(Time(rig.now)), ..EngineEntry::new(EngineId(99)) };
-    rig.step(&[Event::Engines { scope: ListScope::Changes, entries: vec![entry] }]);
+    rig.step(&[Event::Endpoints { scope: EndpointScope::Changes, entries: vec![entry] }]);
     let (from, mut open) = (rig.actions.len(), Vec::new());
     for _ in 0..400 {
         open.push(rig.arrive(0));
@@ -142,7 +142,7 @@
         let mut rig = Rig::new(Settings { gateways: 1000, ..settings() }, 5);
         thin(&mut rig, 40);
         let at = Time(rig.now - 500_000);
-        let start = told.then_some(Event::Started { engine: EngineId(3), at });
+        let start = told.then_some(Event::EngineRestarted { engine: EngineId(3), started: at });
         rig.step(&start.into_iter().collect::<Vec<_>>());
         thin(&mut rig, 60).into_iter().filter(|e| *e == EngineId(3)).count()
     };
@@ -150,9 +150,9 @@
     assert!(warm >= 10 && cold * 4 <= warm * 3, "{warm} {cold}");
     // One of a time to come is as of now, and one of an engine that is not listed is nothing.
     let mut rig = Rig::new(settings(), 2);
-    rig.step(&[Event::Started { engine: EngineId(9), at: Time(u64::MAX) }]);
-    rig.step(&[Event::Started { engine: EngineId(0), at: Time(u64::MAX) }]);
-    assert_eq!(rig.gateway.avoided(), 0);
+    rig.step(&[Event::EngineRestarted { engine: EngineId(9), started: Time(u64::MAX) }]);
+    rig.step(&[Event::EngineRestarted { engine: EngineId(0), started: Time(u64::MAX) }]);
+    assert_eq!(rig.gateway.unavailable_engines(), 0);
 }
 
 #[test]
@@ -164,24 +164,25 @@
         rig.step(events);
         thin(&mut rig, 10).into_iter().filter(|e| *e == EngineId(3)).count()
     };
-    let slow = Event::Looks { engine: EngineId(3), slowdown: 8.0 };
+    let slow = Event::SlowdownObserved { engine: EngineId(3), slowdown: 8.0 };
     assert!(went(&[], 1200) > 0, "as often as any");
     assert_eq!(went(std::slice::from_ref(&slow), 1200), 0, "the others are free");
     // Nothing that is heard makes an engine look better than at ease, or moves one that is not there.
-    let wrong = [f64::NAN, -1.0, 0.0].map(|slowdown| Event::Looks { engine: EngineId(3), slowdown });
+    let wrong =
+        [f64::NAN, -1.0, 0.0].map(|slowdown| Event::SlowdownObserved { engine: EngineId(3), slowdown });
     assert!(went(&wrong, 1200) > 0);
-    assert!(went(&[Event::Looks { engine: EngineId(77), slowdown: 8.0 }], 1200) > 0);
+    assert!(went(&[Event::SlowdownObserved { engine: EngineId(77), slowdown: 8.0 }], 1200) > 0);
     let mut rig = Rig::new(settings(), 5);
     rig.serve(0, 60, ms(20));
     rig.step(&[slow]);
     let went = thin(&mut rig, 10);
     assert!(went.contains(&EngineId(3)), "who has looked a moment ago knows better: {went:?}");
     rig.serve(0, 60, ms(20));
-    let views: Vec<_> = rig.gateway.views().collect();
+    let views: Vec<_> = rig.gateway.observations().collect();
     assert!(views.len() == 5 && views.iter().any(|v| v.slowdown.is_some() && v.threads == 0.0), "{views:?}");
     let id = rig.arrive(0);
     let engine = rig.sent(id)[0];
-    assert!(rig.gateway.views().any(|v| v.engine == engine && v.threads == 1.0));
+    assert!(rig.gateway.observations().any(|v| v.engine == engine && v.threads == 1.0));
     rig.pass(ms(1100));
-    assert!(rig.gateway.views().all(|v| v.slowdown.is_none()), "too long ago");
+    assert!(rig.gateway.observations().all(|v| v.slowdown.is_none()), "too long ago");
 }
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use reedwalk_core::*;
+use reedwalk_scheduler::*;
 
 #[test]
 fn simultaneous_arrivals_leave_in_target_order() {
@@ -29,17 +29,17 @@
 fn late_queries_go_first_by_worth() {
     let mut settings = settings();
     // Both earn the same for their work, late or not, so neither is refused for being late.
-    settings.classes.iter_mut().for_each(|c| c.late_worth = 1.0);
-    settings.classes[0].aim = ms(250);
-    settings.classes[1].aim = ms(2500);
-    settings.classes[1].worth = 40.0;
+    settings.classes.iter_mut().for_each(|c| c.late_weight = 1.0);
+    settings.classes[0].latency_objective = ms(250);
+    settings.classes[1].latency_objective = ms(2500);
+    settings.classes[1].priority_weight = 40.0;
     let mut rig = Rig::new(settings, 0);
     let (quick, long) = (rig.arrive(0), rig.arrive(1));
     rig.pass(ms(2000));
     let fresh = rig.arrival(0);
     let order = [long, quick, fresh.request];
     let entries = vec![EngineEntry::new(EngineId(0))];
-    let list = Event::Engines { scope: ListScope::Whole, entries };
+    let list = Event::Endpoints { scope: EndpointScope::Complete, entries };
     let actions = rig.step(&[list, Event::Arrival(fresh)]);
     assert_eq!(sends(&actions).iter().map(|s| s.0).collect::<Vec<_>>(), order);
 }
@@ -73,7 +73,7 @@
     settings.gateways = 8;
     let mut rig = Rig::new(settings, 1);
     let ids: Vec<_> = (0..4).map(|_| rig.arrive(0)).collect();
-    rig.end(ids[3], 0, Outcome::Full);
+    rig.end(ids[3], 0, Outcome::Rejected);
     rig.pass(ms(150));
     let held = rig.arrive(0);
     assert!(rig.sent(held).is_empty(), "three threads are out, and the bound is three");
@@ -85,7 +85,7 @@
 fn bound_under_pressure(rig: &mut Rig) -> usize {
     let ids: Vec<_> = (0..60).map(|_| rig.arrive(0)).collect();
     let out: Vec<_> = ids.iter().filter(|id| rig.sent(**id).len() == 1).copied().collect();
-    rig.end(out[out.len() - 1], 0, Outcome::Full);
+    rig.end(out[out.len() - 1], 0, Outcome::Rejected);
     out.len()
 }
 
@@ -105,7 +105,7 @@
             rig.pass(ms(450));
         }
         let full = rig.arrive(0);
-        rig.end(full, 0, Outcome::Full);
+        rig.end(full, 0, Outcome::Rejected);
         rig.pass(ms(150));
         bound_under_pressure(&mut rig)
     };
@@ -127,7 +127,7 @@
         }
         // Full makes the bound bind; after the short shut-out, what goes out shows it.
         let full = rig.arrive(0);
-        rig.end(full, 0, Outcome::Full);
+        rig.end(full, 0, Outcome::Rejected);
         rig.pass(ms(150));
         let ids: Vec<_> = (0..30).map(|_| rig.arrive(0)).collect();
         ids.iter().filter(|id| rig.sent(**id).len() == 1).count()
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::ms;
-use reedwalk_core::*;
+use reedwalk_scheduler::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -69,23 +69,23 @@
                 assert_eq!(out.number, attempt.0);
                 out.cancelled = true;
             }
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 let open = &self.open[request];
-                let free = match self.class(open).effect {
-                    Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. } => true,
+                let free = match self.class(open).idempotency {
+                    Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. } => true,
                     _ => open.ran.is_none() && open.out.is_none(),
                 };
                 assert!(free, "refused though it may have run");
                 self.answer(*request);
             }
             Action::Fail { request } => self.answer(*request),
-            Action::Terms { request, priority, memory_mb } => {
+            Action::GrantResources { request, priority, memory_mb } => {
                 assert!(self.open.contains_key(request) && *priority <= 3);
                 assert!(memory_mb.is_none_or(|m| m.is_finite() && m >= 0.0));
             }
-            Action::Probe(_) => assert!(self.settings.limits.probes, "probes are not allowed"),
-            Action::Subscribe => assert_eq!(self.settings.discovery, Discovery::Asked),
-            Action::Wake(_) | Action::Log(_) | Action::Suspect { .. } => {}
+            Action::CheckHealth(_) => assert!(self.settings.limits.health_checks, "probes are not allowed"),
+            Action::Subscribe => assert_eq!(self.settings.discovery, Discovery::Subscribed),
+            Action::WakeAfter(_) | Action::Log(_) | Action::EngineEjected { .. } => {}
         }
     }
 
@@ -101,7 +101,7 @@
     fn settle(&mut self, id: RequestId) {
         let open = &self.open[&id];
         if open.answered && open.out.is_none() {
-            if let Some(line) = open.arrival.key.and_then(|k| self.lines.get_mut(&k)) {
+            if let Some(line) = open.arrival.ordering_key.and_then(|k| self.lines.get_mut(&k)) {
                 line.0.retain(|r| *r != id);
             }
             self.open.remove(&id);
@@ -121,10 +121,10 @@
         assert!(class.kinds.is_none_or(|k| k.contains(&entry.kind.unwrap())), "wrong kind");
         if let Some((first, sent)) = open.ran {
             let first = &self.engines[&first].0;
-            match class.effect {
-                Effect::Safe => {}
-                Effect::Once => panic!("sent again though it may have run"),
-                Effect::Keyed { scope, memory } => {
+            match class.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("sent again though it may have run"),
+                Idempotency::Keyed { scope, window: memory } => {
                     assert!(self.now <= sent + us(memory), "no longer remembered");
                     match scope {
                         KeyScope::All => {}
@@ -134,7 +134,7 @@
                 }
             }
         }
-        if let (true, Some(key)) = (class.in_order, open.arrival.key) {
+        if let (true, Some(key)) = (class.in_order, open.arrival.ordering_key) {
             let (line, rests) = &self.lines[&key];
             assert_eq!(line[0], id, "out of turn");
             assert!(open.attempts > 0 || self.now >= *rests, "the key rests");
@@ -160,9 +160,10 @@
         if outcome != Outcome::Ok && !outcome.never_ran() {
             open.ran = open.ran.or(Some((out.engine, out.sent)));
         }
-        if let (true, Some(line)) =
-            (ordered && outcome.may_still_run(), open.arrival.key.and_then(|k| self.lines.get_mut(&k)))
-        {
+        if let (true, Some(line)) = (
+            ordered && outcome.may_still_run(),
+            open.arrival.ordering_key.and_then(|k| self.lines.get_mut(&k)),
+        ) {
             line.1 = line.1.max(rest);
         }
         open.answered |= outcome == Outcome::Ok;
@@ -170,29 +171,29 @@
         self.settle(id);
         let (attempt, load) =
             (AttemptNo(out.number), Some(LoadReport { cpu: Some(f64::NAN), ..LoadReport::default() }));
-        let bill = (outcome == Outcome::Ok).then_some(Bill { work: ms(80), memory_mb: 64.0 });
-        Event::Ended(Ended { request: id, attempt, outcome, closed, bill, load })
+        let bill = (outcome == Outcome::Ok).then_some(ResourceUsage { work: ms(80), memory_mb: 64.0 });
+        Event::Ended(AttemptEnded { request: id, attempt, outcome, closed, usage: bill, load })
     }
 }
 
 fn classes(dice: &mut Dice) -> Vec<ClassSettings> {
     let effects = [
-        Effect::Safe,
-        Effect::Once,
-        Effect::Keyed { scope: KeyScope::All, memory: ms(800) },
-        Effect::Keyed { scope: KeyScope::Zone, memory: ms(2000) },
-        Effect::Keyed { scope: KeyScope::Cell, memory: ms(2000) },
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        Idempotency::Keyed { scope: KeyScope::All, window: ms(800) },
+        Idempotency::Keyed { scope: KeyScope::Zone, window: ms(2000) },
+        Idempotency::Keyed { scope: KeyScope::Cell, window: ms(2000) },
     ];
     (0..4)
         .map(|_| ClassSettings {
-            effect: effects[dice.roll(5) as usize],
+            idempotency: effects[dice.roll(5) as usize],
             in_order: dice.one_in(2),
             zones: dice.one_in(3).then(|| vec![ZoneId(dice.roll(2) as usize)]),
             kinds: dice.one_in(3).then(|| vec![KindId(dice.roll(2) as usize)]),
             threads: 1 + dice.roll(4) as u32,
             is_load: dice.one_in(3),
-            aim_stretch: [0.0, 2.0, 1e300][dice.roll(3) as usize],
-            late_worth: dice.roll(3) as f64 / 2.0,
+            objective_stretch: [0.0, 2.0, 1e300][dice.roll(3) as usize],
+            late_weight: dice.roll(3) as f64 / 2.0,
             ..ClassSettings::new(ms(dice.roll(400)), ms(2000))
         })
         .collect()
@@ -207,13 +208,13 @@
     settings.limits.max_attempts = 1 + dice.roll(5) as u32;
     settings.rules.drain_grace = ms(500);
     settings.rules.order_settle = ms(300);
-    settings.discovery = if dice.one_in(3) { Discovery::Asked } else { Discovery::Pushed };
+    settings.discovery = if dice.one_in(3) { Discovery::Subscribed } else { Discovery::Pushed };
     settings.engine.grants = dice.one_in(2);
     settings.engine.priorities = dice.one_in(2);
-    settings.engine.notes_every = dice.one_in(2).then(|| ms(200));
+    settings.engine.progress_interval = dice.one_in(2).then(|| ms(200));
     settings.rules.retry_budget =
         dice.one_in(2).then(|| RetryBudget { free: 2.0, ratio: 0.2, window: ms(1000) });
-    let mut gateway = Gateway::new(settings.clone(), seed).unwrap();
+    let mut gateway = Scheduler::new(settings.clone(), seed).unwrap();
     let mut world = World {
         settings,
         now: dice.roll(1 << 40),
@@ -227,11 +228,12 @@
     for step in 0..3000 {
         // Mostly 5 ms on; now and then the clock stands, and events come that make no sense.
         world.now += if dice.one_in(10) { 0 } else { 5000 };
-        let mut events = vec![Event::Woken];
+        let mut events = vec![Event::WakeUp];
         if step == 0 || dice.one_in(150) {
             let entries = (0..2 + dice.roll(8)).map(|_| entry(&mut dice, world.now)).collect::<Vec<_>>();
-            let scope = [ListScope::Whole, ListScope::Changes, ListScope::Cached][dice.roll(3) as usize];
-            if scope != ListScope::Changes {
+            let scope = [EndpointScope::Complete, EndpointScope::Changes, EndpointScope::Cached]
+                [dice.roll(3) as usize];
+            if scope != EndpointScope::Changes {
                 world.engines.values_mut().for_each(|e| e.1 = e.1.or(Some(world.now)));
             }
             for entry in &entries {
@@ -239,17 +241,22 @@
                 let before = world.engines.get(&entry.engine).and_then(|e| e.1);
                 world.engines.insert(entry.engine, (entry.clone(), told.map(|t| before.unwrap_or(t))));
             }
-            events.push(Event::Engines { scope, entries });
+            events.push(Event::Endpoints { scope, entries });
         }
         if dice.one_in(200) {
-            events.push(Event::ListFailed);
+            events.push(Event::EndpointListFailed);
         }
         let ends: Vec<_> = world.open.iter().filter(|o| o.1.out.is_some()).map(|o| *o.0).collect();
         for id in ends {
             let open = &world.open[&id];
             let (out, due) = (open.out.as_ref().unwrap(), open.due);
-            let outcomes =
-                [Outcome::Error, Outcome::Full, Outcome::ConnectFailed, Outcome::Reset, Outcome::Moot];
+            let outcomes = [
+                Outcome::Error,
+                Outcome::Rejected,
+                Outcome::ConnectFailed,
+                Outcome::Reset,
+                Outcome::NeverSent,
+            ];
             let outcome = if world.now >= due {
                 Some(Outcome::TimedOut)
             } else if out.cancelled {
@@ -268,16 +275,20 @@
                 }
                 events.push(again);
             } else if dice.one_in(10) {
-                let notes =
-                    [Note::Progress(0.01), Note::Progress(f64::NAN), Note::Spills(-1.0), Note::WaitsForLoad];
-                events.push(Event::Noted { request: id, attempt, note: notes[dice.roll(4) as usize] });
+                let notes = [
+                    ProgressReport::Done(0.01),
+                    ProgressReport::Done(f64::NAN),
+                    ProgressReport::Spilling(-1.0),
+                    ProgressReport::WaitingForLoad,
+                ];
+                events.push(Event::Progress { request: id, attempt, report: notes[dice.roll(4) as usize] });
             }
         }
         let leaving = world.open.iter().find(|o| !o.1.answered).map(|o| *o.0).filter(|_| dice.one_in(100));
         if let Some(id) = leaving {
             world.open.get_mut(&id).unwrap().answered = true;
             world.settle(id);
-            events.push(Event::Left(id));
+            events.push(Event::ClientDisconnected(id));
         }
         for _ in 0..if dice.one_in(3) { dice.roll(4) } else { 0 } {
             next += 1;
@@ -285,18 +296,18 @@
             let arrival = Arrival {
                 request: RequestId(next),
                 class,
-                key: dice.one_in(2).then(|| KeyId(dice.roll(5))),
-                group: dice.one_in(2).then(|| GroupId(dice.roll(3))),
-                patience: ms(dice.roll(2000)),
+                ordering_key: dice.one_in(2).then(|| KeyId(dice.roll(5))),
+                table_group: dice.one_in(2).then(|| GroupId(dice.roll(3))),
+                time_left: ms(dice.roll(2000)),
                 work: dice.one_in(3).then(|| Duration::from_secs(dice.roll(1 << 50))),
                 memory_mb: dice.one_in(2).then_some([f64::NAN, 0.0, 100.0, -5.0][dice.roll(4) as usize]),
                 ..Arrival::default()
             };
-            if let (true, Some(key)) = (world.settings.classes[class.0].in_order, arrival.key) {
+            if let (true, Some(key)) = (world.settings.classes[class.0].in_order, arrival.ordering_key) {
                 world.lines.entry(key).or_default().0.push(arrival.request);
             }
             world.taken.push(world.now);
-            let due = world.now + us(arrival.patience);
+            let due = world.now + us(arrival.time_left);
             let open =
                 Open { arrival: arrival.clone(), due, attempts: 0, out: None, ran: None, answered: false };
             world.open.insert(arrival.request, open);
@@ -304,18 +315,18 @@
         }
         if dice.one_in(30) {
             let (request, attempt) = (RequestId(next + 1000), AttemptNo(3));
-            events.push(Event::Noted { request, attempt, note: Note::Progress(0.5) });
-            events.push(Event::Left(request));
+            events.push(Event::Progress { request, attempt, report: ProgressReport::Done(0.5) });
+            events.push(Event::ClientDisconnected(request));
             let unknown = Arrival::new(request, ClassId(99), ms(100));
             events.push(Event::Arrival(unknown));
             let (engine, outcome) = (EngineId(77), Outcome::Ok);
-            events.push(Event::Probed { engine, outcome, load: None });
+            events.push(Event::HealthChecked { engine, outcome, load: None });
         }
         actions.clear();
         gateway.step(Time(world.now), &events, &mut actions);
         // A client may leave in the very step in which its request is answered; the answer is then ignored.
         let moot = |a: &&Action| match a {
-            Action::Refuse { request, .. } | Action::Fail { request } => Some(*request) != leaving,
+            Action::Reject { request, .. } | Action::Fail { request } => Some(*request) != leaving,
             _ => true,
         };
         actions.iter().filter(moot).for_each(|a| world.check(a));
@@ -328,7 +339,7 @@
 }
 
 fn entry(dice: &mut Dice, now: u64) -> EngineEntry {
-    let states = [EngineState::Draining, EngineState::Gone];
+    let states = [EngineState::Draining, EngineState::Removed];
     let state = if dice.one_in(8) { states[dice.roll(2) as usize] } else { EngineState::InService };
     let id = dice.roll(8);
     EngineEntry {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use reedwalk_core::*;
+use reedwalk_scheduler::*;
 
 #[test]
 fn every_request_is_answered_before_its_client_gives_up() {
@@ -29,7 +29,7 @@
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed_not_repeated() {
     let mut settings = settings();
-    settings.classes[0].effect = Effect::Once;
+    settings.classes[0].idempotency = Idempotency::NonIdempotent;
     for (outcome, sends) in
         [(Outcome::Error, 1), (Outcome::Reset, 1), (Outcome::TimedOut, 1), (Outcome::ConnectFailed, 2)]
     {
@@ -47,7 +47,7 @@
 fn a_keyed_request_repeats_only_in_its_group_and_while_remembered() {
     for (scope, cell) in [(KeyScope::Zone, 1), (KeyScope::Cell, 7)] {
         let mut settings = settings();
-        settings.classes[0].effect = Effect::Keyed { scope, memory: ms(1000) };
+        settings.classes[0].idempotency = Idempotency::Keyed { scope, window: ms(1000) };
         let mut rig = Rig::new(settings, 0);
         let entry = |id, zone, cell| EngineEntry {
             zone: Some(ZoneId(zone)),
@@ -55,7 +55,7 @@
             ..EngineEntry::new(EngineId(id))
         };
         let entries = vec![entry(0, 0, cell), entry(1, 1, 2)];
-        rig.step(&[Event::Engines { scope: ListScope::Whole, entries }]);
+        rig.step(&[Event::Endpoints { scope: EndpointScope::Complete, entries }]);
         let id = rig.arrive(0);
         let first = rig.sent(id)[0];
         rig.end(id, 0, Outcome::Error);
@@ -69,10 +69,10 @@
 
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_engine() {
-    for state in [EngineState::Draining, EngineState::Gone] {
+    for state in [EngineState::Draining, EngineState::Removed] {
         let mut rig = Rig::new(settings(), 2);
         let entry = EngineEntry { state, ..EngineEntry::new(EngineId(0)) };
-        rig.step(&[Event::Engines { scope: ListScope::Changes, entries: vec![entry] }]);
+        rig.step(&[Event::Endpoints { scope: EndpointScope::Changes, entries: vec![entry] }]);
         for _ in 0..5 {
             let id = rig.arrive(0);
             assert_eq!(rig.sent(id), [EngineId(1)]);
@@ -80,7 +80,7 @@
     }
     let mut rig = Rig::new(settings(), 2);
     let entries = vec![EngineEntry::new(EngineId(1))];
-    rig.step(&[Event::Engines { scope: ListScope::Whole, entries }]);
+    rig.step(&[Event::Endpoints { scope: EndpointScope::Complete, entries }]);
     let id = rig.arrive(0);
     assert_eq!(rig.sent(id), [EngineId(1)], "left out of a whole list is gone");
 }
@@ -91,7 +91,7 @@
     rig.serve(0, 300, ms(10));
     let started = Some(Time(rig.now));
     let entry = EngineEntry { started, ..EngineEntry::new(EngineId(2)) };
-    rig.step(&[Event::Engines { scope: ListScope::Changes, entries: vec![entry] }]);
+    rig.step(&[Event::Endpoints { scope: EndpointScope::Changes, entries: vec![entry] }]);
     let from = rig.actions.len();
     rig.serve(0, 150, ms(10));
     let cold = sends(&rig.actions[from..]).iter().filter(|s| s.1 == EngineId(2)).count();
@@ -121,13 +121,13 @@
 fn requests_of_one_key_run_one_at_a_time_in_order() {
     let mut settings = settings();
     settings.classes[0].in_order = true;
-    settings.classes[0].late_worth = 1.0;
+    settings.classes[0].late_weight = 1.0;
     settings.rules.order_settle = ms(400);
     let mut rig = Rig::new(settings, 3);
     let ids: Vec<_> = (0..3)
         .map(|_| {
             let mut arrival = rig.arrival(0);
-            arrival.key = Some(KeyId(1));
+            arrival.ordering_key = Some(KeyId(1));
             let id = arrival.request;
             rig.step(&[Event::Arrival(arrival)]);
             id
@@ -137,7 +137,7 @@
     rig.end(ids[0], 0, Outcome::Ok);
     assert_eq!(rig.sent(ids[1]).len(), 1);
     // The client leaves: the attempt is called off, and the key waits for its outcome and rests after it.
-    rig.step(&[Event::Left(ids[1])]);
+    rig.step(&[Event::ClientDisconnected(ids[1])]);
     rig.pass(ms(600));
     assert_eq!(rig.sent(ids[2]).len(), 0, "an attempt has no outcome yet");
     rig.end(ids[1], 0, Outcome::Cancelled);
@@ -155,7 +155,7 @@
     let held = rig.arrive(0);
     assert!(rig.sent(held).is_empty());
     let entry = EngineEntry { zone: Some(ZoneId(1)), ..EngineEntry::new(EngineId(3)) };
-    rig.step(&[Event::Engines { scope: ListScope::Changes, entries: vec![entry] }]);
+    rig.step(&[Event::Endpoints { scope: EndpointScope::Changes, entries: vec![entry] }]);
     assert_eq!(rig.sent(held), [EngineId(3)]);
     rig.end(held, 0, Outcome::Error);
     rig.pass(ms(150));
@@ -198,10 +198,10 @@
 /// Engines 0 and 1 in a zone each, and a class whose repeats only a zone drops.
 fn two_zones() -> Rig {
     let mut settings = settings();
-    settings.classes[0].effect = Effect::Keyed { scope: KeyScope::Zone, memory: ms(1000) };
+    settings.classes[0].idempotency = Idempotency::Keyed { scope: KeyScope::Zone, window: ms(1000) };
     let mut rig = Rig::new(settings, 0);
     let entry = |id| EngineEntry { zone: Some(ZoneId(id as usize)), ..EngineEntry::new(EngineId(id)) };
-    rig.step(&[Event::Engines { scope: ListScope::Whole, entries: vec![entry(0), entry(1)] }]);
+    rig.step(&[Event::Endpoints { scope: EndpointScope::Complete, entries: vec![entry(0), entry(1)] }]);
     rig
 }
 
@@ -210,20 +210,20 @@
     for group in [0, 1] {
         let mut rig = two_zones();
         for _ in 0..8 {
-            let earlier = Some(Earlier { group, ago: ms(300) });
-            let arrival = Arrival { earlier, ..rig.arrival(0) };
+            let earlier = Some(PriorAttempt { group, age: ms(300) });
+            let arrival = Arrival { prior_attempt: earlier, ..rig.arrival(0) };
             let id = arrival.request;
             rig.step(&[Event::Arrival(arrival)]);
             assert_eq!(rig.sent(id), [EngineId(group as u32)]);
             rig.end(id, 0, Outcome::Ok);
         }
         // Engines forget a second after the other's send, not after ours.
-        let earlier = Some(Earlier { group, ago: ms(990) });
-        let arrival = Arrival { earlier, ..rig.arrival(0) };
+        let earlier = Some(PriorAttempt { group, age: ms(990) });
+        let arrival = Arrival { prior_attempt: earlier, ..rig.arrival(0) };
         let id = arrival.request;
         rig.step(&[Event::Arrival(arrival)]);
         rig.pass(ms(15));
-        rig.end(id, 0, Outcome::Full);
+        rig.end(id, 0, Outcome::Rejected);
         rig.pass(ms(100));
         assert_eq!(rig.sent(id).len(), 1);
         assert!(rig.failed(id) && !rig.refused(id), "a repeat elsewhere is not harmless");
@@ -235,8 +235,8 @@
     let mut rig = two_zones();
     let id = rig.arrive(0);
     let first = rig.sent(id)[0];
-    rig.step(&[Event::Bound(id)]);
-    rig.end(id, 0, Outcome::Full);
+    rig.step(&[Event::BoundToGroup(id)]);
+    rig.end(id, 0, Outcome::Rejected);
     rig.pass(ms(500));
     assert!(rig.sent(id).iter().all(|e| *e == first), "{:?}", rig.sent(id));
     rig.pass(ms(3000));
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::settings;
-use reedwalk_core::*;
+use reedwalk_scheduler::*;
 
 #[test]
 fn each_field_that_makes_no_sense_is_named() {
     let field = |change: fn(&mut Settings)| {
         let mut settings = settings();
         change(&mut settings);
-        Gateway::new(settings, 1).err().map(|e| e.field)
+        Scheduler::new(settings, 1).err().map(|e| e.field)
     };
     assert_eq!(field(|_| ()), None);
     assert_eq!(field(|s| s.classes.clear()), Some("classes"));
