--- a/gateway/src/broker/admission.rs
+++ b/gateway/src/broker/admission.rs
@@ -54,18 +54,18 @@
 
     /// What a request costs its team; `None` without quotas.
     fn quota_request(&self, request: &Request) -> Result<Option<QuotaRequest>, Rejection> {
-        match &self.contracts {
-            Some(contracts) => contracts.cover(request.team.as_deref(), request.class).map(Some),
+        match &self.quotas {
+            Some(quotas) => quotas.quota_request(request.team.as_deref(), request.class).map(Some),
             None => Ok(None),
         }
     }
 
     /// Charges a request's team. A shared store may take a while for that, so it is waited for in a task of its own.
     fn spawn_quota_check(&self, id: RequestId, quota_request: QuotaRequest) {
-        let Some(contracts) = self.contracts.clone() else { return };
+        let Some(quotas) = self.quotas.clone() else { return };
         let events = self.events.clone();
         tokio::spawn(async move {
-            let decision = contracts.spend(&quota_request).await;
+            let decision = quotas.charge(&quota_request).await;
             let _ = events.send(BrokerEvent::QuotaDecided { request: id, decision }).await;
         });
     }
--- a/gateway/src/broker/idempotency.rs
+++ b/gateway/src/broker/idempotency.rs
@@ -5,7 +5,8 @@
 use super::dedup_groups::DeduplicationGroups;
 use super::packed_rows::pack;
 use crate::message::{AttemptId, AttemptRequest, BrokerEvent, ClaimAnswer, Request, Rows};
-use crate::store::link::{Key, Link};
+use crate::shared_store::client::{Key, SharedStoreClient};
+use crate::shared_store::unix_ms;
 use reedwalk_scheduler::{EngineEntry, Idempotency, KeyScope, RequestId};
 use reedwalk_settings::Deployment;
 use reedwalk_store::keyed::{Close, Ending, Holder, Keyed, Scope, Send, Sent, Step};
@@ -46,7 +47,7 @@
 
 /// The open requests that have an idempotency key.
 pub(super) struct IdempotencyTracker {
-    link: Arc<Link>,
+    store: Arc<SharedStoreClient>,
     /// For each class its name and, where its requests have keys, how those are remembered.
     classes: Vec<(String, Option<KeyedClass>)>,
     groups: DeduplicationGroups,
@@ -59,15 +60,19 @@
 }
 
 impl IdempotencyTracker {
-    /// A tracker that asks the store over `link` and gets its answers through `events`.
-    pub(super) fn new(link: Arc<Link>, deployment: &Deployment, events: mpsc::Sender<BrokerEvent>) -> Self {
+    /// A tracker that asks the store over `store` and gets its answers through `events`.
+    pub(super) fn new(
+        store: Arc<SharedStoreClient>,
+        deployment: &Deployment,
+        events: mpsc::Sender<BrokerEvent>,
+    ) -> Self {
         let names = deployment.sockets.classes.iter().cloned();
         let keyed = deployment.core.classes.iter().map(|class| match class.idempotency {
             Idempotency::Keyed { scope, window: memory } => Some(KeyedClass { scope, window: memory }),
             _ => None,
         });
         Self {
-            link,
+            store,
             classes: names.zip(keyed).collect(),
             groups: DeduplicationGroups::default(),
             open: HashMap::new(),
@@ -87,13 +92,13 @@
         let Some(idempotency_key) = &request.idempotency_key else { return Step::Go(None) };
         let Some((name, Some(class))) = self.classes.get(request.class.0) else { return Step::Go(None) };
         let class = *class;
-        let answer_deadline = now + self.link.terms().wait;
+        let answer_deadline = now + self.store.options().wait;
         let scope = if class.scope == KeyScope::All { Scope::All } else { Scope::Group };
-        let mut state = Keyed::new(scope, request.is_retry, class.window, self.link.terms().clocks_differ);
+        let mut state = Keyed::new(scope, request.is_retry, class.window, self.store.options().clocks_differ);
         let is_shared = idempotency_key.len() <= MAX_SHARED_KEY_BYTES;
-        let step = state.arrive(is_shared && self.link.usable(now, answer_deadline));
-        let key = self.link.key(name, idempotency_key);
-        let holder = self.link.holder();
+        let step = state.arrive(is_shared && self.store.is_usable(now, answer_deadline));
+        let key = self.store.request_key(name, idempotency_key);
+        let holder = self.store.next_holder();
         let claim_pending = step == Step::Claim;
         let tracked = TrackedRequest { state, key, holder, class, claim_pending };
         if claim_pending {
@@ -104,10 +109,10 @@
     }
 
     fn spawn_claim(&self, id: RequestId, tracked: &TrackedRequest, is_retry: bool, answer_deadline: Instant) {
-        let (link, events, key) = (self.link.clone(), self.events.clone(), tracked.key.clone());
+        let (store, events, key) = (self.store.clone(), self.events.clone(), tracked.key.clone());
         let (holder, window) = (tracked.holder, tracked.class.window);
         tokio::spawn(async move {
-            let answer = link.claim(&key, holder, is_retry, window, answer_deadline).await;
+            let answer = store.claim(&key, holder, is_retry, window, answer_deadline).await;
             let _ = events.send(BrokerEvent::ClaimAnswered { request: id, answer }).await;
         });
     }
@@ -116,15 +121,15 @@
     pub(super) fn on_claim_answer(&mut self, id: RequestId, answer: Option<ClaimAnswer>) -> Option<Step> {
         if let Some(tracked) = self.ended_before_claim.remove(&id) {
             // Nothing was sent: the next request of this key finds what stood there before.
-            self.link.close(tracked.key, tracked.holder, tracked.class.window, Close::Release);
+            self.store.close(tracked.key, tracked.holder, tracked.class.window, Close::Release);
         }
         let tracked = self.open.get_mut(&id)?;
         tracked.claim_pending = false;
         let trusted = answer.as_ref().is_some_and(|answer| answer.trusted);
         let claimed = answer.map(|answer| answer.claimed);
-        let (step, close) = tracked.state.claimed(claimed, trusted, self.link.unix_ms());
+        let (step, close) = tracked.state.claimed(claimed, trusted, unix_ms());
         if let Some(close) = close {
-            self.link.close(tracked.key.clone(), tracked.holder, tracked.class.window, close);
+            self.store.close(tracked.key.clone(), tracked.holder, tracked.class.window, close);
         }
         Some(step)
     }
@@ -139,7 +144,7 @@
         let Some(tracked) = self.open.get_mut(&id) else { return SendVerdict::Send(attempt) };
         // For an engine in no group nobody knows which engines drop its repeats.
         let group = self.groups.group_of(attempt.engine, tracked.class.scope).unwrap_or(u64::MAX);
-        match tracked.state.send(group, self.link.unix_ms()) {
+        match tracked.state.send(group, unix_ms()) {
             Send::Now => SendVerdict::Send(attempt),
             Send::Never => SendVerdict::Never,
             Send::Mark(sent) => {
@@ -152,13 +157,13 @@
     /// Has the store record where an attempt goes, and keeps the attempt until then.
     fn spawn_record(&mut self, id: RequestId, attempt: AttemptRequest, sent: Sent, now: Instant) {
         let Some(tracked) = self.open.get(&id) else { return };
-        let (link, events, key) = (self.link.clone(), self.events.clone(), tracked.key.clone());
+        let (store, events, key) = (self.store.clone(), self.events.clone(), tracked.key.clone());
         let (holder, window, attempt_id) = (tracked.holder, tracked.class.window, attempt.id);
-        let answer_deadline = now + self.link.terms().wait;
+        let answer_deadline = now + self.store.options().wait;
         self.awaiting_record.insert(attempt_id, attempt);
         tokio::spawn(async move {
-            let recorded = if link.usable(Instant::now(), answer_deadline) {
-                link.mark(&key, holder, sent, window, answer_deadline).await
+            let recorded = if store.is_usable(Instant::now(), answer_deadline) {
+                store.record_sent(&key, holder, sent, window, answer_deadline).await
             } else {
                 None
             };
@@ -201,11 +206,11 @@
             None => Ending::Unserved,
         };
         if let Some(close) = tracked.state.over(ending) {
-            self.link.close(tracked.key, tracked.holder, tracked.class.window, close);
+            self.store.close(tracked.key, tracked.holder, tracked.class.window, close);
         } else if tracked.claim_pending {
             self.ended_before_claim.insert(id, tracked);
         } else {
-            self.link.forget(tracked.holder);
+            self.store.forget(tracked.holder);
         }
     }
 }
--- a/gateway/src/broker/mod.rs
+++ b/gateway/src/broker/mod.rs
@@ -21,18 +21,18 @@
 pub use recovery_guard::RecoverySetup;
 pub use request_queue::{PendingResponse, RequestQueue};
 
-use crate::contracts::Contracts;
-use crate::figures::Figures;
 use crate::message::{
     AttemptEvent, AttemptId, BrokerEvent, EndpointMailbox, EngineAddress, EngineTransport, GossipHandle,
 };
+use crate::metrics::Metrics;
+use crate::quotas::QuotaManager;
+use crate::shared_store::client::SharedStoreClient;
 use crate::shutdown::Phase;
-use crate::store::link::Link;
 use attempt_table::AttemptTable;
 use counters::PeriodicReport;
 use idempotency::IdempotencyTracker;
 use recovery_guard::RecoveryGuard;
-use reedwalk_membership::Part;
+use reedwalk_operations::CapacityShare;
 use reedwalk_scheduler::{EndpointScope, EngineState, Event, Idempotency, Scheduler, Time};
 use reedwalk_settings::Deployment;
 use request_table::RequestTable;
@@ -61,13 +61,13 @@
     /// Where the endpoint registry leaves its updates.
     pub endpoints: EndpointMailbox,
     /// The metrics.
-    pub figures: Arc<Figures>,
+    pub metrics: Arc<Metrics>,
     /// This process's share of the gateway's capacity.
-    pub part: watch::Receiver<Part>,
+    pub share: watch::Receiver<CapacityShare>,
     /// How far the shutdown of this process has come.
     pub phase: watch::Receiver<Phase>,
     /// The store in which gateways share idempotency keys, if they do.
-    pub shared_store: Option<Arc<Link>>,
+    pub shared_store: Option<Arc<SharedStoreClient>>,
     /// Where other gateways are told what is found out here, if they are.
     pub gossip: Option<GossipHandle>,
 }
@@ -76,7 +76,7 @@
 #[derive(Default)]
 pub struct BrokerOptions {
     /// The teams' quotas, if there are any.
-    pub contracts: Option<Arc<Contracts>>,
+    pub quotas: Option<Arc<QuotaManager>>,
     /// Persisted state, if any is kept.
     pub recovery: Option<RecoverySetup>,
 }
@@ -134,7 +134,7 @@
     context: BrokerContext,
     scheduler: Scheduler,
     transport: T,
-    contracts: Option<Arc<Contracts>>,
+    quotas: Option<Arc<QuotaManager>>,
     /// The broker's own queue, for what has to be waited for elsewhere.
     events: mpsc::Sender<BrokerEvent>,
     idempotency: Option<IdempotencyTracker>,
@@ -170,15 +170,16 @@
     ) -> Self {
         let now = Instant::now();
         let shared_store = context.shared_store.clone();
-        let idempotency = shared_store.map(|link| IdempotencyTracker::new(link, deployment, events.clone()));
+        let idempotency =
+            shared_store.map(|store| IdempotencyTracker::new(store, deployment, events.clone()));
         let recovery = options
             .recovery
-            .map(|setup| RecoveryGuard::new(setup, deployment, context.figures.clone(), log.clone()));
+            .map(|setup| RecoveryGuard::new(setup, deployment, context.metrics.clone(), log.clone()));
         Self {
             context,
             scheduler,
             transport,
-            contracts: options.contracts,
+            quotas: options.quotas,
             events,
             idempotency,
             recovery,
@@ -206,7 +207,7 @@
             tokio::select! {
                 received = events.recv_many(&mut batch, MAX_EVENTS_PER_STEP) => if received == 0 { return },
                 () = self.context.endpoints.changed() => {}
-                Ok(()) = self.context.part.changed() => {}
+                Ok(()) = self.context.share.changed() => {}
                 Ok(()) = self.context.phase.changed() => {}
                 () = sleep_until(wake_up) => {}
             }
@@ -255,7 +256,7 @@
 
     /// Takes over this process's share of the capacity where it has changed.
     fn update_capacity_share(&mut self) {
-        let share = self.context.part.borrow_and_update().share;
+        let share = self.context.share.borrow_and_update().share;
         if share != self.capacity_share {
             self.capacity_share = share;
             self.transport.set_capacity_share(share);
--- a/gateway/src/broker/recovery_guard.rs
+++ b/gateway/src/broker/recovery_guard.rs
@@ -3,10 +3,10 @@
 //! decisions are made in `reedwalk-recovery`. Nothing here waits.
 
 use super::dedup_groups::DeduplicationGroups;
-use crate::figures::Figures;
 use crate::health::Health;
 use crate::message::{PersistedEvent, Request};
-use crate::store::unix_ms;
+use crate::metrics::Metrics;
+use crate::shared_store::unix_ms;
 use reedwalk_recovery::Millis;
 use reedwalk_recovery::keys::{Keyed, Keys, Step};
 use reedwalk_recovery::memory::KeyMemory;
@@ -67,7 +67,7 @@
 pub(super) struct RecoveryGuard {
     persisted_events: mpsc::Sender<PersistedEvent>,
     health: Health,
-    figures: Arc<Figures>,
+    metrics: Arc<Metrics>,
     phases: Return,
     keys: Keys,
     classes: Vec<Option<KeyedClass>>,
@@ -87,7 +87,7 @@
     pub(super) fn new(
         setup: RecoverySetup,
         deployment: &Deployment,
-        figures: Arc<Figures>,
+        metrics: Arc<Metrics>,
         log: Logger,
     ) -> Self {
         let classes: Vec<_> =
@@ -99,7 +99,7 @@
         let guard = Self {
             persisted_events: setup.persisted_events,
             health: setup.health,
-            figures,
+            metrics,
             phases,
             keys: Keys::new(&setup.keys, window, started_ms),
             classes,
@@ -217,7 +217,7 @@
     }
 
     fn update_metrics(&self) {
-        self.figures.set_return(vec![
+        self.metrics.set_return(vec![
             ("stage", self.phases.stage() as u64, 'g'),
             ("refused", self.counters.rejected, 'c'),
             ("bound", self.counters.bound, 'c'),
--- a/gateway/src/broker/request_queue.rs
+++ b/gateway/src/broker/request_queue.rs
@@ -1,7 +1,7 @@
 //! The queue on which the fronts pass requests to the broker.
 
-use crate::figures::{Ending, Figures, Taken};
 use crate::message::{BrokerEvent, Failure, Rejection, Request, Response, ResponseHandle};
+use crate::metrics::{CountedRequest, Metrics, RequestOutcome};
 use reedwalk_scheduler::{ClassId, RequestId};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct RequestQueue {
     events: mpsc::Sender<BrokerEvent>,
-    figures: Arc<Figures>,
+    metrics: Arc<Metrics>,
     next_id: Arc<AtomicU64>,
 }
 
@@ -29,19 +29,19 @@
     response: oneshot::Receiver<Response>,
     events: mpsc::Sender<BrokerEvent>,
     disconnected: CancellationToken,
-    taken: Taken,
+    counted: CountedRequest,
     answered: bool,
 }
 
 impl RequestQueue {
     /// A queue in front of the broker that counts each request.
-    pub fn new(events: mpsc::Sender<BrokerEvent>, figures: Arc<Figures>) -> Self {
-        Self { events, figures, next_id: Arc::default() }
+    pub fn new(events: mpsc::Sender<BrokerEvent>, metrics: Arc<Metrics>) -> Self {
+        Self { events, metrics, next_id: Arc::default() }
     }
 
     /// Counts a request that its front has answered by itself, before it could be queued.
-    pub fn count_rejected(&self, class: ClassId, ending: Ending) {
-        self.figures.take(class).end(ending);
+    pub fn count_rejected(&self, class: ClassId, ending: RequestOutcome) {
+        self.metrics.take(class).end(ending);
     }
 
     /// A number that this queue has not given before, spread over all values: an id for a request without one.
@@ -59,15 +59,15 @@
         let (sender, receiver) = oneshot::channel();
         let disconnected = CancellationToken::new();
         let response = ResponseHandle { sender, disconnected: disconnected.clone() };
-        let mut taken = self.figures.take(request.class);
+        let mut counted = self.metrics.take(request.class);
         let event = BrokerEvent::RequestArrived { id, request: Box::new(request), response };
         if self.events.try_send(event).is_err() {
-            taken.end(Ending::Rejected);
+            counted.end(RequestOutcome::Rejected);
             let retry_after = Some(FULL_QUEUE_RETRY_AFTER);
             return Err(Response::Rejected { reason: Rejection::Shed, retry_after });
         }
         let events = self.events.clone();
-        Ok(PendingResponse { id, response: receiver, events, disconnected, taken, answered: false })
+        Ok(PendingResponse { id, response: receiver, events, disconnected, counted, answered: false })
     }
 }
 
@@ -76,13 +76,13 @@
     pub async fn response(&mut self) -> Option<Response> {
         let response = (&mut self.response).await.ok();
         self.answered = true;
-        self.taken.end(response.as_ref().map_or(Ending::Failed, Ending::from));
+        self.counted.end(response.as_ref().map_or(RequestOutcome::Failed, RequestOutcome::from));
         response
     }
 
     /// Fails the request in its front; the broker hears of it when this is dropped.
     pub fn fail(&mut self, reason: Failure) -> Response {
-        self.taken.end(Ending::Failed);
+        self.counted.end(RequestOutcome::Failed);
         Response::Failed(reason)
     }
 }
--- a/gateway/src/broker/requests.rs
+++ b/gateway/src/broker/requests.rs
@@ -57,8 +57,8 @@
 
     /// Gives back what was charged for a request that never ran.
     pub(super) fn refund(&self, charge: &Charge) {
-        if let Some(contracts) = &self.contracts {
-            contracts.refund(charge);
+        if let Some(quotas) = &self.quotas {
+            quotas.refund(charge);
         }
     }
 
@@ -135,7 +135,7 @@
         if self.wake_at.is_some_and(|wake_at| wake_at <= now) {
             self.wake_at = None;
             self.pending.push(Event::WakeUp);
-            self.context.figures.set_unavailable(self.scheduler.unavailable_engines());
+            self.context.metrics.set_unavailable(self.scheduler.unavailable_engines());
             self.report(now);
         }
     }
--- a/gateway/src/cli.rs
+++ b/gateway/src/cli.rs
@@ -2,10 +2,10 @@
 
 use crate::config::{self, Config, ConfigError, Surroundings};
 use crate::console;
-use crate::operator::{Operator, Store};
-use crate::peers;
+use crate::gossip;
+use crate::operator::{self, Operator, Store};
+use crate::persistence;
 use crate::serve;
-use crate::state;
 use slog::{Drain, Level, LevelFilter, Logger, o};
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -59,15 +59,15 @@
 }
 
 fn load(options: &Options) -> Result<(Config, Operator), String> {
-    let operator = options.operator.as_deref().map(config::read_operator).transpose();
+    let operator = options.operator.as_deref().map(operator::read_file).transpose();
     let operator = operator.map_err(|e| e.to_string())?.unwrap_or_default();
-    let config = read(&options.config).and_then(Config::sound).map_err(|e| e.to_string())?;
-    if let (Err(fault), Some(path)) = (operator.check(&config.limits), &options.operator) {
-        return Err(ConfigError::Operator(path.clone(), fault).to_string());
+    let config = read(&options.config).and_then(Config::validate).map_err(|e| e.to_string())?;
+    if let (Err(error), Some(path)) = (operator.check(&config.limits), &options.operator) {
+        return Err(ConfigError::Operator(path.clone(), error).to_string());
     }
-    let tier = operator.peers.as_ref().map(|terms| peers::tier(terms, &config));
-    if let (Some(Err(fault)), Some(path)) = (tier, &options.operator) {
-        return Err(ConfigError::Operator(path.clone(), fault).to_string());
+    let tier = operator.peers.as_ref().map(|terms| gossip::group(terms, &config));
+    if let (Some(Err(error)), Some(path)) = (tier, &options.operator) {
+        return Err(ConfigError::Operator(path.clone(), error).to_string());
     }
     Ok((config, operator))
 }
@@ -90,8 +90,7 @@
                 None => println!("console: off"),
             }
             println!("cores: {}", operator.cores.max(1));
-            let contracts =
-                serve::contracts(&operator, &config.deployment, None).map_err(|e| e.to_string())?;
+            let contracts = serve::quotas(&operator, &config.deployment, None).map_err(|e| e.to_string())?;
             let teams = operator.contracts.as_ref().map_or(0, Vec::len);
             println!(
                 "contracts: {}",
@@ -101,7 +100,7 @@
                 Store::Memory => println!("store: in memory"),
                 Store::Redis(_, terms) => println!("store: Redis, {terms:?}"),
             }
-            match operator.peers.as_ref().map(|terms| peers::tier(terms, &config)) {
+            match operator.peers.as_ref().map(|terms| gossip::group(terms, &config)) {
                 None => println!("peers: off"),
                 Some(Ok(Some(tier))) => {
                     let (count, listen, most) = (tier.addresses.len(), tier.listen, tier.bytes_most());
@@ -142,9 +141,9 @@
                 return Err("state: expected show, verify or forget, and a folder".into());
             };
             let done = match what.to_str() {
-                Some("show") => state::show(Path::new(folder), false),
-                Some("verify") => state::show(Path::new(folder), true),
-                Some("forget") => state::forget(Path::new(folder)),
+                Some("show") => persistence::show(Path::new(folder), false),
+                Some("verify") => persistence::show(Path::new(folder), true),
+                Some("forget") => persistence::forget(Path::new(folder)),
                 _ => Err("state: expected show, verify or forget, and a folder".into()),
             };
             print!("{}", done?);
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -1,7 +1,8 @@
 //! What a front end is told at its start: `GW_CONFIG`, and `GW_NAME` and `GW_LISTEN` beside it.
 
-use crate::names::list::Book;
-use crate::operator::{self, Fault, Operator};
+use crate::discovery::endpoint_list::EndpointList;
+use crate::limits::Limits;
+use crate::operator::error::OperatorFileError;
 use reedwalk_scheduler::{Scheduler, SettingsError};
 use reedwalk_settings::{Deployment, ReadError};
 use serde::Deserialize;
@@ -20,9 +21,7 @@
     /// It is not the JSON that is expected.
     Malformed(PathBuf, serde_json::Error),
     /// An operator's file is not as expected.
-    Operator(PathBuf, Fault),
-    /// An operator's file asks for more than the limits allow.
-    Unfit(String),
+    Operator(PathBuf, OperatorFileError),
     /// Its settings are not.
     Settings(ReadError),
     /// They make no sense.
@@ -41,8 +40,7 @@
             Self::NoFile => write!(f, "GW_CONFIG names no file"),
             Self::Unreadable(path, error) => write!(f, "{}: {error}", path.display()),
             Self::Malformed(path, error) => write!(f, "{}: {error}", path.display()),
-            Self::Operator(path, fault) => write!(f, "{}: {fault}", path.display()),
-            Self::Unfit(why) => write!(f, "{why}"),
+            Self::Operator(path, error) => write!(f, "{}: {error}", path.display()),
             Self::Settings(error) => write!(f, "{error}"),
             Self::Unsound(error) => write!(f, "{error}"),
             Self::Known(error) => write!(f, "known: {error}"),
@@ -72,24 +70,6 @@
     settings: serde_json::Value,
 }
 
-/// What the platform allows the process.
-#[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
-#[serde(default)]
-pub struct Limits {
-    /// Share of a core.
-    pub cores: f64,
-    /// Memory in MB.
-    pub memory_mb: f64,
-    /// File descriptors.
-    pub sockets: usize,
-}
-
-impl Default for Limits {
-    fn default() -> Self {
-        Self { cores: 1.0, memory_mb: 192.0, sockets: 1024 }
-    }
-}
-
 /// All that a front end is told at its start.
 #[derive(Clone, Debug)]
 pub struct Config {
@@ -122,24 +102,17 @@
     ///
     /// # Errors
     /// Says what is wrong with it.
-    pub fn sound(self) -> Result<Self, ConfigError> {
+    pub fn validate(self) -> Result<Self, ConfigError> {
         Scheduler::new(self.deployment.core.clone(), self.seed).map_err(ConfigError::Unsound)?;
         if let Some(known) = &self.known {
-            Book::new(Arc::new(self.deployment.sockets.clone())).start(known).map_err(ConfigError::Known)?;
+            EndpointList::new(Arc::new(self.deployment.sockets.clone()))
+                .start(known)
+                .map_err(ConfigError::Known)?;
         }
         Ok(self)
     }
 }
 
-/// Reads an operator's file.
-///
-/// # Errors
-/// Says what is wrong with it.
-pub fn read_operator(path: &Path) -> Result<Operator, ConfigError> {
-    let text = std::fs::read_to_string(path).map_err(|e| ConfigError::Unreadable(path.into(), e))?;
-    operator::read(&text).map_err(|fault| ConfigError::Operator(path.into(), fault))
-}
-
 /// What the environment says before the configuration file.
 #[derive(Clone, Debug, Default)]
 pub struct Surroundings {
--- a/gateway/src/console/line.rs
+++ b/gateway/src/console/line.rs
@@ -10,7 +10,7 @@
 pub enum Call {
     /// Does this process take clients?
     Health,
-    /// The figures.
+    /// The metrics.
     Dump,
     /// Take an engine out.
     Offline(String),
--- a/gateway/src/console/mod.rs
+++ b/gateway/src/console/mod.rs
@@ -1,13 +1,14 @@
 //! The operators' door: each connection carries one line and gets one answer. Nothing here waits for the broker:
-//! health is a flag, figures are atomics, and the list of engines is behind a lock that nobody holds for long.
+//! health is a flag, metrics are atomics, and the list of engines is behind a lock that nobody holds for long.
 
 pub mod line;
 
-use crate::figures::Figures;
 use crate::health::Health;
-use crate::members::Members;
+use crate::metrics::Metrics;
+use crate::registry::EndpointRegistry;
 use bytes::BytesMut;
 use line::{BadLine, Call};
+use reedwalk_operations::Override;
 use slog::{Logger, info, warn};
 use std::collections::VecDeque;
 use std::fmt::Write;
@@ -52,8 +53,8 @@
 #[derive(Debug)]
 pub struct Console {
     health: Health,
-    figures: Arc<Figures>,
-    members: Members,
+    metrics: Arc<Metrics>,
+    registry: EndpointRegistry,
     callers: Mutex<Callers>,
     log: Logger,
 }
@@ -108,8 +109,8 @@
 
 impl Console {
     /// A console that answers from these.
-    pub fn new(health: Health, figures: Arc<Figures>, members: Members, log: Logger) -> Self {
-        Self { health, figures, members, callers: Mutex::default(), log }
+    pub fn new(health: Health, metrics: Arc<Metrics>, registry: EndpointRegistry, log: Logger) -> Self {
+        Self { health, metrics, registry, callers: Mutex::default(), log }
     }
 
     fn callers(&self) -> std::sync::MutexGuard<'_, Callers> {
@@ -183,18 +184,18 @@
             Call::Health if self.health.is_serving() => "SUCCESS\n".into(),
             Call::Health => failure(&"this process takes no clients"),
             Call::Dump => {
-                let mut text = self.figures.text();
+                let mut text = self.metrics.text();
                 let _ = writeln!(text, "{END}");
                 text
             }
-            Call::Offline(id) => self.word(&id, true).await,
-            Call::Online(id) => self.word(&id, false).await,
+            Call::Offline(id) => self.set_override(&id, Override::Out).await,
+            Call::Online(id) => self.set_override(&id, Override::Returned).await,
         }
     }
 
-    async fn word(&self, id: &str, out: bool) -> String {
-        let said = self.members.say(id, out).await;
-        info!(self.log, "operator"; "engine" => id, "out" => out, "answer" => ?said);
+    async fn set_override(&self, id: &str, value: Override) -> String {
+        let said = self.registry.set_override(id, value).await;
+        info!(self.log, "operator"; "engine" => id, "override" => ?value, "answer" => ?said);
         match said {
             Ok(()) => "SUCCESS\n".into(),
             Err(error) => failure(&error),
--- a/gateway/src/names/list.rs
+++ b/gateway/src/discovery/endpoint_list.rs
@@ -48,7 +48,7 @@
 
 /// Engines as last told.
 #[derive(Debug)]
-pub struct Book {
+pub struct EndpointList {
     sockets: Arc<Sockets>,
     /// None before anything was told: the first answer holds whatever its serial.
     serial: Option<u32>,
@@ -67,7 +67,7 @@
     a != b && a.wrapping_sub(b) < 1 << 31
 }
 
-impl Book {
+impl EndpointList {
     /// An empty list.
     pub fn new(sockets: Arc<Sockets>) -> Self {
         Self { sockets, serial: None, open: None, ids: HashMap::new(), next: 0, listed: BTreeMap::new() }
--- a/gateway/src/names/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -1,9 +1,9 @@
 //! The list of engines: the events known at the start, then the name server's answers.
 
 pub mod dns;
-pub mod list;
+pub mod endpoint_list;
 
-use crate::members::Members;
+use crate::registry::EndpointRegistry;
 use futures::future::select_all;
 use slog::{Logger, debug, info, warn};
 use std::collections::VecDeque;
@@ -31,7 +31,7 @@
 
 /// Where the names come from; a new configuration brings another while the program runs.
 #[derive(Clone, Debug, Default)]
-pub struct Source {
+pub struct DiscoverySource {
     /// Where the name server listens.
     pub server: Option<SocketAddr>,
     /// What the configuration knew of the list.
@@ -47,8 +47,8 @@
 }
 
 /// The list, and how it is kept up.
-struct Watch {
-    members: Members,
+struct DiscoveryClient {
+    members: EndpointRegistry,
     /// Where the numbers of queries come from: they can't be told from those before.
     numbers: u64,
     /// Numbers of the latest queries, the last one first.
@@ -61,16 +61,22 @@
 
 /// Asks the name server again and again and hands what it tells to the list's owner. Where the source changes, the
 /// next server is asked at once; the list and its serial go on.
-pub async fn watch(mut sources: watch::Receiver<Source>, members: Members, seed: u64, log: Logger) {
+pub async fn watch(
+    mut sources: watch::Receiver<DiscoverySource>,
+    members: EndpointRegistry,
+    seed: u64,
+    log: Logger,
+) {
     let (asked, heard) = (VecDeque::new(), Instant::now());
-    let mut watch = Watch { members, numbers: seed, asked, large: false, silent: false, heard, log };
+    let mut watch =
+        DiscoveryClient { members, numbers: seed, asked, large: false, silent: false, heard, log };
     loop {
         let source = sources.borrow_and_update().clone();
         if let Some(Err(error)) = source.known.as_ref().map(|k| watch.members.refresh(k)) {
             warn!(watch.log, "known list of the new configuration not used"; "error" => %error);
         }
         let over = match source.server {
-            Some(server) => watch.ask(server, &mut sources).await,
+            Some(server) => watch.poll(server, &mut sources).await,
             None => Over::when(&mut sources).await,
         };
         if let Over::Ended = over {
@@ -81,14 +87,14 @@
 
 impl Over {
     /// Waits until the source changes or nobody can change it any more.
-    async fn when(sources: &mut watch::Receiver<Source>) -> Self {
+    async fn when(sources: &mut watch::Receiver<DiscoverySource>) -> Self {
         if sources.changed().await.is_ok() { Self::Changed } else { Self::Ended }
     }
 }
 
-impl Watch {
+impl DiscoveryClient {
     /// Asks one server until another takes its place.
-    async fn ask(&mut self, server: SocketAddr, sources: &mut watch::Receiver<Source>) -> Over {
+    async fn poll(&mut self, server: SocketAddr, sources: &mut watch::Receiver<DiscoverySource>) -> Over {
         let mut buffer = vec![0; ANSWER_MOST];
         let (mut next, mut opened) = (Instant::now(), Instant::now());
         // The latest first.
@@ -117,7 +123,7 @@
                 }
                 // A socket fails where nothing listens there; the next one is opened with the next query.
                 place = readable(&sockets) => match sockets[place].try_recv(&mut buffer) {
-                    Ok(size) => self.take(&buffer[..size]),
+                    Ok(size) => self.on_datagram(&buffer[..size]),
                     Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
                     Err(_) => _ = sockets.remove(place),
                 }
@@ -140,7 +146,7 @@
     }
 
     /// Takes in a datagram.
-    fn take(&mut self, bytes: &[u8]) {
+    fn on_datagram(&mut self, bytes: &[u8]) {
         match dns::read(bytes, self.asked.make_contiguous()) {
             Ok(answer) => {
                 self.heard = Instant::now();
--- a/gateway/src/engine/flight/call.rs
+++ b/gateway/src/engine/flight/call.rs
@@ -3,9 +3,9 @@
 use crate::drain_guard::DrainGuard;
 use crate::engine::pool::Heard;
 use crate::engine::{RESULT_MOST, read_load};
-use crate::figures::Figures;
-use crate::flight_meta as meta;
+use crate::front::flight::metadata as meta;
 use crate::message::{AttemptEvent, AttemptRequest, AttemptResult, BrokerEvent, Rows, WireNative};
+use crate::metrics::Metrics;
 use arrow_array::{Array, RecordBatch, StringArray};
 use arrow_cast::cast;
 use arrow_flight::decode::FlightRecordBatchStream;
@@ -53,7 +53,7 @@
     drain_guard: DrainGuard,
     attempt: AttemptRequest,
     class: String,
-    figures: Arc<Figures>,
+    metrics: Arc<Metrics>,
     /// A call was made, and its connection did not fail to come up.
     made: bool,
 }
@@ -63,7 +63,7 @@
     /// out; on a connection that is up that is at once.
     fn drop(&mut self) {
         if self.made {
-            self.figures.upstream();
+            self.metrics.upstream();
         }
     }
 }
@@ -75,10 +75,10 @@
         drain_guard: DrainGuard,
         attempt: AttemptRequest,
         class: String,
-        figures: Arc<Figures>,
+        metrics: Arc<Metrics>,
     ) -> Self {
         let client = FlightServiceClient::new(channel).max_decoding_message_size(MESSAGE_MOST);
-        Self { client, heard, drain_guard, attempt, class, figures, made: false }
+        Self { client, heard, drain_guard, attempt, class, metrics, made: false }
     }
 
     /// Makes the calls and tells the broker how they ended.
--- a/gateway/src/engine/flight/mod.rs
+++ b/gateway/src/engine/flight/mod.rs
@@ -4,10 +4,10 @@
 mod call;
 
 use super::pool::{Handle, Heard, Pool};
-use crate::cores::{Cores, Seat};
 use crate::drain_guard::DrainGuard;
-use crate::figures::Figures;
 use crate::message::{AttemptId, AttemptRequest, BrokerEvent, EngineAddress, EngineTransport};
+use crate::metrics::Metrics;
+use crate::multicore::{ConnectionSlot, Multicore};
 use hyper_util::rt::TokioIo;
 use reedwalk_scheduler::EngineId;
 use reedwalk_settings::Sockets;
@@ -24,7 +24,7 @@
 /// A channel, and the core that it lives on.
 struct Connection {
     channel: Channel,
-    seat: Seat,
+    seat: ConnectionSlot,
 }
 
 // A channel that breaks connects again by itself.
@@ -40,8 +40,8 @@
     tasks: HashMap<AttemptId, AbortHandle>,
     sockets: Arc<Sockets>,
     queue: mpsc::Sender<BrokerEvent>,
-    figures: Arc<Figures>,
-    cores: Cores,
+    metrics: Arc<Metrics>,
+    cores: Multicore,
 }
 
 impl Transport {
@@ -50,15 +50,15 @@
         sockets: Arc<Sockets>,
         connections_most: usize,
         queue: mpsc::Sender<BrokerEvent>,
-        figures: Arc<Figures>,
-        cores: Cores,
+        metrics: Arc<Metrics>,
+        cores: Multicore,
     ) -> Self {
         Self {
             pool: Pool::new(sockets.clone(), connections_most, None),
             tasks: HashMap::new(),
             sockets,
             queue,
-            figures,
+            metrics,
             cores,
         }
     }
@@ -92,16 +92,16 @@
         let within = self.sockets.connect_within;
         let cores = &self.cores;
         let picked = self.pool.pick(&attempt, now, |address, heard, drain_guard| {
-            let seat = cores.seat();
+            let seat = cores.place_connection();
             // The channel's own task is started with it.
-            let channel = seat.within(|| channel(address, heard, drain_guard.clone(), within));
+            let channel = seat.enter(|| channel(address, heard, drain_guard.clone(), within));
             Connection { channel, seat }
         });
         let Some((connection, heard, drain_guard)) = picked else { return false };
         let class = self.sockets.classes.get(attempt.class.0).cloned().unwrap_or_default();
         let id = attempt.id;
-        let (channel, figures) = (connection.channel.clone(), self.figures.clone());
-        let call = call::Call::new(channel, heard.clone(), drain_guard.clone(), attempt, class, figures);
+        let (channel, metrics) = (connection.channel.clone(), self.metrics.clone());
+        let call = call::Call::new(channel, heard.clone(), drain_guard.clone(), attempt, class, metrics);
         let queue = self.queue.clone();
         let task = connection.seat.spawn(async move { call.run(queue).await });
         self.tasks.insert(id, task);
--- a/gateway/src/engine/resp/connection.rs
+++ b/gateway/src/engine/resp/connection.rs
@@ -5,8 +5,8 @@
 use crate::drain_guard::DrainGuard;
 use crate::engine::RESULT_MOST;
 use crate::engine::pool::Heard;
-use crate::figures::Figures;
 use crate::message::{AttemptEvent, AttemptId, AttemptRequest, AttemptResult, BrokerEvent, Rows};
+use crate::metrics::Metrics;
 use bytes::{Bytes, BytesMut};
 use reedwalk_scheduler::Outcome;
 use reedwalk_settings::Sockets;
@@ -59,7 +59,7 @@
     heard: Arc<Heard>,
     sockets: Arc<Sockets>,
     queue: mpsc::Sender<BrokerEvent>,
-    figures: Arc<Figures>,
+    metrics: Arc<Metrics>,
     commands: mpsc::Receiver<Command>,
     by_id: HashMap<Bytes, Attempt>,
     ids: HashMap<AttemptId, Bytes>,
@@ -74,7 +74,7 @@
         heard: Arc<Heard>,
         sockets: Arc<Sockets>,
         queue: mpsc::Sender<BrokerEvent>,
-        figures: Arc<Figures>,
+        metrics: Arc<Metrics>,
         commands: mpsc::Receiver<Command>,
     ) -> Self {
         Self {
@@ -83,7 +83,7 @@
             heard,
             sockets,
             queue,
-            figures,
+            metrics,
             commands,
             by_id: HashMap::new(),
             ids: HashMap::new(),
@@ -242,7 +242,7 @@
         for written in self.out.written(count) {
             match written {
                 Written::Start(key) => {
-                    self.figures.upstream();
+                    self.metrics.upstream();
                     let attempt = self.ids.get(&key).and_then(|id| self.by_id.get_mut(id));
                     attempt.into_iter().for_each(|a| a.sent = true);
                 }
--- a/gateway/src/engine/resp/mod.rs
+++ b/gateway/src/engine/resp/mod.rs
@@ -5,9 +5,9 @@
 pub mod wire;
 
 use super::pool::{Handle, Pool};
-use crate::cores::Cores;
-use crate::figures::Figures;
 use crate::message::{AttemptId, AttemptRequest, BrokerEvent, EngineAddress, EngineTransport};
+use crate::metrics::Metrics;
+use crate::multicore::Multicore;
 use connection::{Command, Task};
 use reedwalk_scheduler::EngineId;
 use reedwalk_settings::Sockets;
@@ -30,8 +30,8 @@
     pool: Pool<mpsc::Sender<Command>>,
     sockets: Arc<Sockets>,
     queue: mpsc::Sender<BrokerEvent>,
-    figures: Arc<Figures>,
-    cores: Cores,
+    metrics: Arc<Metrics>,
+    cores: Multicore,
 }
 
 impl Transport {
@@ -42,10 +42,10 @@
         connections_most: usize,
         notes: Option<Duration>,
         queue: mpsc::Sender<BrokerEvent>,
-        figures: Arc<Figures>,
-        cores: Cores,
+        metrics: Arc<Metrics>,
+        cores: Multicore,
     ) -> Self {
-        Self { pool: Pool::new(sockets.clone(), connections_most, notes), sockets, queue, figures, cores }
+        Self { pool: Pool::new(sockets.clone(), connections_most, notes), sockets, queue, metrics, cores }
     }
 
     fn command(&mut self, id: AttemptId, command: Command) {
@@ -62,11 +62,11 @@
     }
 
     fn start(&mut self, attempt: AttemptRequest, now: Instant) -> bool {
-        let (sockets, queue, figures, cores) = (&self.sockets, &self.queue, &self.figures, &self.cores);
+        let (sockets, queue, metrics, cores) = (&self.sockets, &self.queue, &self.metrics, &self.cores);
         let picked = self.pool.pick(&attempt, now, |address, heard, _| {
             let (commands, orders) = mpsc::channel(COMMANDS);
-            let task = Task::new(address, heard, sockets.clone(), queue.clone(), figures.clone(), orders);
-            cores.seat().spawn(task.run(now + sockets.connect_within));
+            let task = Task::new(address, heard, sockets.clone(), queue.clone(), metrics.clone(), orders);
+            cores.place_connection().spawn(task.run(now + sockets.connect_within));
             commands
         });
         let id = attempt.id;
--- a/gateway/src/engine/resp/tests.rs
+++ b/gateway/src/engine/resp/tests.rs
@@ -3,8 +3,8 @@
 use super::connection::{Command, Task};
 use crate::drain_guard::DrainGuard;
 use crate::engine::pool::Heard;
-use crate::figures::Figures;
 use crate::message::{AttemptEvent, AttemptId, AttemptRequest, BrokerEvent};
+use crate::metrics::Metrics;
 use bytes::{Bytes, BytesMut};
 use reedwalk_scheduler::{ClassId, EngineId, Outcome};
 use reedwalk_settings::Sockets;
@@ -66,7 +66,7 @@
     };
     let heard = Arc::new(Heard::new(Instant::now()));
     let peer = listener.local_addr().unwrap();
-    let task = Task::new(peer, heard, Arc::new(sockets), queue, Arc::new(Figures::default()), orders);
+    let task = Task::new(peer, heard, Arc::new(sockets), queue, Arc::new(Metrics::default()), orders);
     Link { listener, commands, news, task }
 }
 
--- a/gateway/src/front/flight/mod.rs
+++ b/gateway/src/front/flight/mod.rs
@@ -1,13 +1,14 @@
 //! The front on Arrow Flight SQL: statement queries (GetFlightInfo, then DoGet) and updates (DoPut). All else
 //! is answered UNIMPLEMENTED.
 
+pub mod metadata;
 mod result;
 mod service;
 mod ticket;
 
 use crate::broker::RequestQueue;
-use crate::cores::Cores;
 use crate::front::accepted_already;
+use crate::multicore::Multicore;
 use crate::operator::FlightFront;
 use crate::shutdown::{Phase, closing};
 use arrow_flight::flight_service_server::FlightServiceServer;
@@ -35,7 +36,7 @@
     listener: TcpListener,
     service: Service,
     front: FlightFront,
-    cores: Cores,
+    cores: Multicore,
     mut phase: watch::Receiver<Phase>,
     alive: mpsc::Sender<()>,
     log: Logger,
@@ -47,8 +48,8 @@
             return;
         }
         let (service, alive, log) = (service.clone(), alive.clone(), log.clone());
-        let seat = cores.seat();
-        let Ok(stream) = seat.bring(stream) else { return };
+        let seat = cores.place_connection();
+        let Ok(stream) = seat.adopt_stream(stream) else { return };
         let place = Place::take(&open);
         seat.spawn(async move {
             connection(stream, service, phase, log).await;
--- a/gateway/src/front/flight/service.rs
+++ b/gateway/src/front/flight/service.rs
@@ -3,11 +3,11 @@
 use super::result;
 use super::ticket::{Statement, Tickets};
 use crate::broker::RequestQueue;
-use crate::figures::Ending;
-use crate::flight_meta as meta;
+use crate::front::flight::metadata as meta;
 use crate::front::mysql::statement::group;
 use crate::front::{MEMORY_MOST, WORK_MOST};
 use crate::message::{self, Rejection, Rows};
+use crate::metrics::RequestOutcome;
 use arrow_flight::encode::FlightDataEncoderBuilder;
 use arrow_flight::error::FlightError;
 use arrow_flight::flight_service_server::FlightService;
@@ -151,7 +151,7 @@
         let class = statement.header.class;
         let handle = self.tickets.keep(statement, Instant::now());
         let handle = handle.ok_or_else(|| {
-            self.request_queue.count_rejected(class, Ending::Rejected);
+            self.request_queue.count_rejected(class, RequestOutcome::Rejected);
             result::rejected(Rejection::Shed, Some(TICKET_RETRY))
         })?;
         let ticket = TicketStatementQuery { statement_handle: Bytes::copy_from_slice(&handle) };
--- a/gateway/src/front/mysql/mod.rs
+++ b/gateway/src/front/mysql/mod.rs
@@ -7,14 +7,14 @@
 pub mod statement;
 
 use crate::broker::RequestQueue;
-use crate::config::Limits;
-use crate::contracts::Contracts;
-use crate::cores::Cores;
 use crate::front::accepted_already;
+use crate::limits::Limits;
+use crate::multicore::Multicore;
+use crate::quotas::QuotaManager;
 use crate::shutdown::{Phase, closing};
 use packet::Writer;
 use places::{Counts, Places};
-use reedwalk_membership::Part;
+use reedwalk_operations::CapacityShare;
 use reedwalk_settings::Deployment;
 use slog::{Logger, info, warn};
 use std::collections::HashMap;
@@ -25,7 +25,7 @@
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// Share of the descriptors that client sessions may hold; clients keep to a third, engines take a part.
+/// Share of the descriptors that client sessions may hold; clients keep to a third, engines take a share.
 const SESSIONS_SHARE: f64 = 0.6;
 /// Share of the memory for statements that are not small, as they are read and while they run.
 const STATEMENTS_SHARE: f64 = 0.1;
@@ -72,13 +72,13 @@
 pub struct Front {
     request_queue: RequestQueue,
     deployment: Arc<Deployment>,
-    contracts: Option<Arc<Contracts>>,
+    contracts: Option<Arc<QuotaManager>>,
     places: Arc<Places>,
     sessions: usize,
     running: Running,
     turned_away: Arc<Semaphore>,
     seed: u64,
-    cores: Cores,
+    cores: Multicore,
     log: Logger,
 }
 
@@ -87,10 +87,10 @@
     pub fn new(
         request_queue: RequestQueue,
         deployment: Arc<Deployment>,
-        contracts: Option<Arc<Contracts>>,
+        contracts: Option<Arc<QuotaManager>>,
         limits: &Limits,
         seed: u64,
-        cores: Cores,
+        cores: Multicore,
         log: Logger,
     ) -> Self {
         let sessions = (limits.sockets as f64 * SESSIONS_SHARE) as usize;
@@ -119,16 +119,16 @@
         self: Arc<Self>,
         listener: TcpListener,
         mut phase: watch::Receiver<Phase>,
-        mut part: watch::Receiver<Part>,
+        mut share: watch::Receiver<CapacityShare>,
         alive: mpsc::Sender<()>,
     ) {
         let mut numbers = Numbers::new();
         let mut told = (Instant::now(), Counts::default());
-        part.mark_changed();
+        share.mark_changed();
         loop {
             let stream = tokio::select! {
-                Ok(()) = part.changed() => {
-                    let share = part.borrow_and_update().share;
+                Ok(()) = share.changed() => {
+                    let share = share.borrow_and_update().share;
                     self.places.resize((self.sessions as f64 * share) as usize);
                     continue;
                 }
@@ -172,8 +172,8 @@
             return self.turn_away(stream, now, alive.clone());
         };
         let (front, phase, alive) = (self.clone(), phase.clone(), alive.clone());
-        let seat = self.cores.seat();
-        if let Ok(stream) = seat.bring(stream) {
+        let seat = self.cores.place_connection();
+        if let Ok(stream) = seat.adopt_stream(stream) {
             seat.spawn(async move {
                 session::Session::new(&front, stream, id, place, now).run(phase).await;
                 drop(alive);
--- a/gateway/src/front/mysql/session.rs
+++ b/gateway/src/front/mysql/session.rs
@@ -6,8 +6,8 @@
 use super::places::{Place, Room, Stage};
 use super::statement::{self, BadFields};
 use crate::broker::PendingResponse;
-use crate::figures::Ending;
 use crate::message::{Failure, Rejection, Request, Response};
+use crate::metrics::RequestOutcome;
 use crate::shutdown::{Phase, closed_to};
 use bytes::{Bytes, BytesMut};
 use reedwalk_scheduler::{ClassId, Idempotency};
@@ -112,7 +112,7 @@
         };
         // The platform's one user, or a team that has a contract here.
         let team = std::str::from_utf8(&login.user).unwrap_or_default();
-        let known = team == "app" || self.front.contracts.as_ref().is_some_and(|c| c.knows(team));
+        let known = team == "app" || self.front.contracts.as_ref().is_some_and(|c| c.has_contract(team));
         self.team = Arc::from(team);
         if !login.empty_password || !known {
             Writer::new(&mut self.out, 2).error(1045, b"28000", "access denied");
@@ -227,7 +227,7 @@
 
     /// Waits for the answer; `None` if the query was killed. A client that closes meanwhile has left.
     async fn wait(&mut self, pending: &mut PendingResponse, by: Instant) -> Result<Option<Response>, Closed> {
-        let apart = self.front.cores.several();
+        let apart = self.front.cores.is_multicore();
         let mut killed = self.front.running.enter(self.id);
         loop {
             if self.input.len() > AHEAD_MOST {
@@ -261,7 +261,7 @@
             matches!(self.front.deployment.core.classes[class].idempotency, Idempotency::Keyed { .. });
         if keyed && fields.nonce.is_none() {
             // Without its key a repeat would have a second effect.
-            self.front.request_queue.count_rejected(ClassId(class), Ending::Failed);
+            self.front.request_queue.count_rejected(ClassId(class), RequestOutcome::Failed);
             return Err(BadFields::Absent("nonce"));
         }
         let patience = Duration::from_millis(fields.patience_ms);
--- a/gateway/src/peers.rs
+++ b/gateway/src/gossip.rs
@@ -2,11 +2,11 @@
 //! word, and where the settings forbid it not even a socket is opened.
 
 use crate::config::Config;
-use crate::figures::Figures;
-use crate::members::Members;
+use crate::discovery::DiscoverySource;
 use crate::message::{BrokerEvent, OutlierKind, OutlierReport};
-use crate::names::Source;
-use crate::operator::Fault;
+use crate::metrics::Metrics;
+use crate::operator::error::OperatorFileError;
+use crate::registry::EndpointRegistry;
 use reedwalk_peers::{
     Act, EngineKey, Key, Keys, Kind, LENGTH_MOST, Millis, PeerId, Peers, Seen, Setup, View,
 };
@@ -26,7 +26,7 @@
 /// Bytes that a front end sends a second where nothing is said.
 pub const BYTES_MOST: u32 = 8 * 1024;
 /// Findings that wait to be told at most; what is found beyond them is found again.
-pub const FINDINGS: usize = 64;
+pub const MAX_PENDING_OUTLIERS: usize = 64;
 /// How often the list is looked at for engines that are new or have restarted.
 const LIST_EVERY: Duration = Duration::from_millis(200);
 /// How often the socket is tried again where another process of this front end still has it.
@@ -36,7 +36,7 @@
 
 /// What an operator's file says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct GossipOptions {
     /// The line of the block.
     pub line: usize,
     /// Where other front ends reach this one; else the configuration's `peer_listen`.
@@ -53,7 +53,7 @@
 
 /// A tier of front ends, as one of them is to know it.
 #[derive(Clone, Debug)]
-pub struct Tier {
+pub struct GossipGroup {
     /// Where the others reach this one.
     pub listen: SocketAddr,
     /// All front ends by number, this one included.
@@ -72,39 +72,42 @@
 ///
 /// # Errors
 /// Names the line that does not fit.
-pub fn tier(terms: &Terms, config: &Config) -> Result<Option<Tier>, Fault> {
+pub fn group(terms: &GossipOptions, config: &Config) -> Result<Option<GossipGroup>, OperatorFileError> {
     if config.deployment.sockets.may_tell == Some(false) {
         return Ok(None);
     }
-    let fault = |what: String| Fault { line: terms.line, what };
+    let error = |what: String| OperatorFileError { line: terms.line, what };
     let ordinal = config.deployment.core.ordinal as usize;
     let (addresses, me) = if terms.members.is_empty() {
         (config.peers.clone(), ordinal)
     } else {
         let me = terms.members.iter().position(|m| m.0 == config.name);
-        let missing = || fault(format!("no 'member' is called \"{}\" as this front end is", config.name));
+        let missing = || error(format!("no 'member' is called \"{}\" as this front end is", config.name));
         (terms.members.iter().map(|m| m.1).collect(), me.ok_or_else(missing)?)
     };
     if addresses.is_empty() {
-        return Err(fault("'peers' names no 'member', and the configuration no 'peers'".into()));
+        return Err(error("'peers' names no 'member', and the configuration no 'peers'".into()));
     }
     let told = config.deployment.core.gateways as usize;
     if addresses.len() != told || me >= told {
         let count = addresses.len();
-        return Err(fault(format!("{count} front ends are named, the settings tell of {told}")));
+        return Err(error(format!("{count} front ends are named, the settings tell of {told}")));
     }
     let listen = terms.listen.or(config.peer_listen);
     let listen = listen.or_else(|| (!terms.members.is_empty()).then(|| addresses[me]));
     let listen =
-        listen.ok_or_else(|| fault("'peers' lacks 'listen', and the configuration 'peer_listen'".into()))?;
+        listen.ok_or_else(|| error("'peers' lacks 'listen', and the configuration 'peer_listen'".into()))?;
     let held = read_keys(&terms.keys)?;
     let (keys, bytes_most, beats) = (terms.keys.clone(), terms.bytes_most, terms.beats);
-    Ok(Some(Tier { listen, addresses, me: me as PeerId, keys, held, bytes_most, beats }))
+    Ok(Some(GossipGroup { listen, addresses, me: me as PeerId, keys, held, bytes_most, beats }))
 }
 
-fn read_keys(files: &[(PathBuf, usize)]) -> Result<Keys, Fault> {
+fn read_keys(files: &[(PathBuf, usize)]) -> Result<Keys, OperatorFileError> {
     let key = |(path, line): &(PathBuf, usize)| {
-        read_key(path).map_err(|what| Fault { line: *line, what: format!("key {}: {what}", path.display()) })
+        read_key(path).map_err(|what| OperatorFileError {
+            line: *line,
+            what: format!("key {}: {what}", path.display()),
+        })
     };
     files.iter().map(key).collect::<Result<_, _>>().map(Keys)
 }
@@ -119,7 +122,7 @@
     Key::new(bytes.trim_ascii_end()).map_err(|e| e.to_string())
 }
 
-impl Tier {
+impl GossipGroup {
     /// How it is signed, for those who ask.
     pub fn signed(&self) -> &'static str {
         match self.keys.len() {
@@ -136,21 +139,21 @@
 }
 
 /// What the task needs of the rest of the program.
-pub struct Around {
+pub struct GossipContext {
     /// The list of engines.
-    pub members: Members,
+    pub registry: EndpointRegistry,
     /// The broker.
-    pub queue: mpsc::Sender<BrokerEvent>,
+    pub events: mpsc::Sender<BrokerEvent>,
     /// What this front end finds.
-    pub findings: mpsc::Receiver<OutlierReport>,
+    pub outliers: mpsc::Receiver<OutlierReport>,
     /// How engines look to it.
-    pub views: watch::Receiver<Vec<EngineObservation>>,
+    pub observations: watch::Receiver<Vec<EngineObservation>>,
     /// Changes when the configuration is read again; the keys are then, too.
-    pub sources: watch::Receiver<Source>,
+    pub sources: watch::Receiver<DiscoverySource>,
     /// Set once this process ends: the next one takes the address.
     pub closing: watch::Receiver<bool>,
     /// What is reported.
-    pub figures: Arc<Figures>,
+    pub metrics: Arc<Metrics>,
     /// For random numbers.
     pub seed: u64,
 }
@@ -161,9 +164,9 @@
 }
 
 /// One front end among the others.
-pub struct Task {
-    tier: Tier,
-    around: Around,
+pub struct GossipTask {
+    tier: GossipGroup,
+    context: GossipContext,
     peers: Peers,
     /// Milliseconds of the Unix clock at the start, and the instant of that: it goes forward only.
     epoch: (Millis, Instant),
@@ -176,17 +179,17 @@
     log: Logger,
 }
 
-impl Task {
+impl GossipTask {
     /// A front end that knows nobody yet.
-    pub fn new(tier: Tier, around: Around, log: Logger) -> Self {
+    pub fn new(tier: GossipGroup, context: GossipContext, log: Logger) -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as Millis;
         let (me, count, keys) = (tier.me, tier.addresses.len(), tier.held.clone());
-        let (bytes_most, beats, seed) = (tier.bytes_most, tier.beats, around.seed);
+        let (bytes_most, beats, seed) = (tier.bytes_most, tier.beats, context.seed);
         let setup = Setup { me, count, bytes_most, keys, beats, seed };
         let by_address = tier.addresses.iter().enumerate().map(|(n, a)| (*a, n as PeerId)).collect();
         let (engines, listed) = (HashMap::new(), BTreeMap::new());
         let (peers, epoch) = (Peers::new(setup, unix), (unix, Instant::now()));
-        Self { tier, around, peers, epoch, by_address, engines, listed, living: count, owed: None, log }
+        Self { tier, context, peers, epoch, by_address, engines, listed, living: count, owed: None, log }
     }
 
     fn now(&self) -> Millis {
@@ -216,15 +219,15 @@
             let due = self.instant(due).min(look);
             tokio::select! {
                 readable = socket.readable() => if readable.is_ok() { self.read(&socket, &mut buffer) },
-                found = self.around.findings.recv() => match found {
+                found = self.context.outliers.recv() => match found {
                     Some(found) => self.find(found),
                     None => return,
                 },
-                changed = self.around.sources.changed() => match changed {
+                changed = self.context.sources.changed() => match changed {
                     Ok(()) => self.rekey(),
                     Err(_) => return,
                 },
-                () = closes(&mut self.around.closing) => return,
+                () = closes(&mut self.context.closing) => return,
                 () = sleep_until(due) => {}
             }
             self.peers.act(self.now(), &mut acts);
@@ -249,7 +252,7 @@
                 }
             }
             tokio::select! {
-                () = closes(&mut self.around.closing) => return None,
+                () = closes(&mut self.context.closing) => return None,
                 () = sleep_until(Instant::now() + BIND_EVERY) => {}
             }
         }
@@ -282,7 +285,7 @@
     /// Looks which engines there are.
     fn list(&mut self) {
         let (mut engines, mut listed) = (HashMap::new(), BTreeMap::new());
-        self.around.members.each(|name, engine, started| {
+        self.context.registry.for_each_engine(|name, engine, started| {
             let key = EngineKey::from(name);
             engines.insert(key, engine);
             listed.insert(key, started.map_or(0, |t| (t.0 / 1_000_000) as u32));
@@ -296,7 +299,7 @@
 
     /// Takes how engines look to this front end, where that is new.
     fn see(&mut self) {
-        if !self.around.views.has_changed().unwrap_or(false) {
+        if !self.context.observations.has_changed().unwrap_or(false) {
             return;
         }
         let named: HashMap<_, _> = self.engines.iter().map(|(key, id)| (*id, *key)).collect();
@@ -304,7 +307,7 @@
             let engine = *named.get(&look.engine)?;
             Some(Seen { engine, slowdown: look.slowdown, threads: look.threads })
         };
-        let seen: Vec<_> = self.around.views.borrow_and_update().iter().filter_map(seen).collect();
+        let seen: Vec<_> = self.context.observations.borrow_and_update().iter().filter_map(seen).collect();
         self.peers.see(&seen, self.now());
     }
 
@@ -312,7 +315,7 @@
     fn rekey(&mut self) {
         match read_keys(&self.tier.keys) {
             Ok(keys) => self.peers.rekey(keys),
-            Err(fault) => error!(self.log, "keys not taken, the old ones stay"; "error" => %fault),
+            Err(error) => error!(self.log, "keys not taken, the old ones stay"; "error" => %error),
         }
     }
 
@@ -327,7 +330,7 @@
                 let until = self.instant(belief.until);
                 if let Some(&engine) = self.engines.get(&belief.engine) {
                     info!(self.log, "others say"; "engine" => engine.0, "left alone ms" => belief.until - self.now());
-                    let _ = self.around.queue.try_send(BrokerEvent::EjectedByGossip { engine, until });
+                    let _ = self.context.events.try_send(BrokerEvent::EjectedByGossip { engine, until });
                 }
             }
             Act::Look(view) => {
@@ -343,12 +346,12 @@
                     View::Slow(_, slowdown) => BrokerEvent::SlowdownObserved { engine, slowdown },
                 };
                 // Where the broker has no room it is said again by those who go on seeing it.
-                let _ = self.around.queue.try_send(input);
+                let _ = self.context.events.try_send(input);
             }
             Act::Living(count) => self.owed = Some(count),
         }
         if let Some(count) =
-            self.owed.take_if(|c| self.around.queue.try_send(BrokerEvent::LiveGateways(*c)).is_ok())
+            self.owed.take_if(|c| self.context.events.try_send(BrokerEvent::LiveGateways(*c)).is_ok())
         {
             debug!(self.log, "reckons with"; "front ends" => count);
         }
@@ -362,7 +365,7 @@
             info!(self.log, "front ends living"; "now" => living, "before" => self.living);
             self.living = living;
         }
-        self.around.figures.set_peers(vec![
+        self.context.metrics.set_peers(vec![
             ("living", living as u64, 'g'),
             ("sent", tally.sent, 'c'),
             ("sent_bytes", tally.bytes, 'c'),
--- /dev/null
+++ b/gateway/src/limits.rs
@@ -0,0 +1,21 @@
+//! Limits of the process.
+
+use serde::Deserialize;
+
+/// What the platform allows the process.
+#[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
+#[serde(default)]
+pub struct Limits {
+    /// Share of a core.
+    pub cores: f64,
+    /// Memory in MB.
+    pub memory_mb: f64,
+    /// File descriptors.
+    pub sockets: usize,
+}
+
+impl Default for Limits {
+    fn default() -> Self {
+        Self { cores: 1.0, memory_mb: 192.0, sockets: 1024 }
+    }
+}
--- a/gateway/src/figures.rs
+++ b/gateway/src/metrics.rs
@@ -9,7 +9,7 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// With the whole result.
     Completed,
     /// Refused; a further try is harmless.
@@ -20,7 +20,7 @@
     Left,
 }
 
-impl From<&Response> for Ending {
+impl From<&Response> for RequestOutcome {
     fn from(response: &Response) -> Self {
         match response {
             Response::Served(_) => Self::Completed,
@@ -41,9 +41,9 @@
 /// Names, values, and whether each is a count or what stands now.
 pub type Lines = Vec<(&'static str, u64, char)>;
 
-/// All figures.
+/// All metrics.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     classes: Vec<Class>,
     taken: AtomicU64,
     ended: AtomicU64,
@@ -59,37 +59,37 @@
 /// A request that was taken. Its end is counted once; dropped without one, its client has left.
 #[derive(Debug)]
 #[must_use = "dropped, it counts as a client that has left"]
-pub struct Taken {
-    figures: Arc<Figures>,
+pub struct CountedRequest {
+    metrics: Arc<Metrics>,
     class: ClassId,
     over: bool,
 }
 
-impl Taken {
+impl CountedRequest {
     /// Counts how it ended. Only the first end counts.
-    pub fn end(&mut self, ending: Ending) {
+    pub fn end(&mut self, ending: RequestOutcome) {
         if std::mem::replace(&mut self.over, true) {
             return;
         }
-        if let Some(class) = self.figures.classes.get(self.class.0) {
+        if let Some(class) = self.metrics.classes.get(self.class.0) {
             match ending {
-                Ending::Completed => class.completed.fetch_add(1, Ordering::Relaxed),
-                Ending::Rejected => class.rejected.fetch_add(1, Ordering::Relaxed),
-                Ending::Failed => class.failed.fetch_add(1, Ordering::Relaxed),
-                Ending::Left => 0,
+                RequestOutcome::Completed => class.completed.fetch_add(1, Ordering::Relaxed),
+                RequestOutcome::Rejected => class.rejected.fetch_add(1, Ordering::Relaxed),
+                RequestOutcome::Failed => class.failed.fetch_add(1, Ordering::Relaxed),
+                RequestOutcome::Left => 0,
             };
         }
-        self.figures.ended.fetch_add(1, Ordering::Relaxed);
+        self.metrics.ended.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-impl Drop for Taken {
+impl Drop for CountedRequest {
     fn drop(&mut self) {
-        self.end(Ending::Left);
+        self.end(RequestOutcome::Left);
     }
 }
 
-impl Figures {
+impl Metrics {
     /// All at 0, for these classes.
     pub fn new(classes: &[String]) -> Self {
         let class = |name: &String| Class { name: name.clone(), ..Class::default() };
@@ -97,9 +97,9 @@
     }
 
     /// A request was taken.
-    pub fn take(self: &Arc<Self>, class: ClassId) -> Taken {
+    pub fn take(self: &Arc<Self>, class: ClassId) -> CountedRequest {
         self.taken.fetch_add(1, Ordering::Relaxed);
-        Taken { figures: self.clone(), class, over: false }
+        CountedRequest { metrics: self.clone(), class, over: false }
     }
 
     /// The last byte of an attempt was written.
@@ -118,18 +118,18 @@
     }
 
     /// What other front ends have to do with this one: names, values, and whether each is a count or what stands now.
-    pub fn set_peers(&self, figures: Lines) {
-        *self.peers.lock().unwrap_or_else(PoisonError::into_inner) = figures;
+    pub fn set_peers(&self, metrics: Lines) {
+        *self.peers.lock().unwrap_or_else(PoisonError::into_inner) = metrics;
     }
 
     /// What was written of the memory that is kept.
-    pub fn set_state(&self, figures: Lines) {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)[0] = figures;
+    pub fn set_state(&self, metrics: Lines) {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)[0] = metrics;
     }
 
     /// How far this front end is on its way back into service.
-    pub fn set_return(&self, figures: Lines) {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)[1] = figures;
+    pub fn set_return(&self, metrics: Lines) {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)[1] = metrics;
     }
 
     /// Requests taken but not yet ended.
--- a/gateway/src/operator/mod.rs
+++ b/gateway/src/operator/mod.rs
@@ -1,19 +1,23 @@
 //! An operator's file: what the platform does not know of and leaves off. A KDL document; what it does not know is
 //! an error that names the line.
 
+pub mod error;
 mod read;
 mod units;
 
-pub use read::{Fault, read};
+pub use read::read;
 pub use units::{BadUnit, duration, size};
 
-use crate::config::Limits;
-use crate::contracts::Contract;
-use crate::cores::DESCRIPTORS_A_CORE;
-use crate::peers::Terms as PeersTerms;
-use crate::state::Terms as StateTerms;
-use crate::store::link::Terms;
+use crate::config::ConfigError;
+use crate::gossip::GossipOptions;
+use crate::limits::Limits;
+use crate::multicore::MIN_DESCRIPTORS_PER_CORE;
+use crate::persistence::PersistenceOptions;
+use crate::quotas::Contract;
+use crate::shared_store::SharedStoreOptions;
+use error::OperatorFileError;
 use std::net::SocketAddr;
+use std::path::Path;
 
 /// The wire on which the engines are reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -32,7 +36,7 @@
     #[default]
     Memory,
     /// In a Redis at this URL, shared by all front ends on these terms.
-    Redis(String, Terms),
+    Redis(String, SharedStoreOptions),
 }
 
 /// Connections of the Flight SQL front where nothing is said.
@@ -62,14 +66,14 @@
     pub flight: Option<FlightFront>,
     /// How the engines are reached.
     pub engines: EngineWire,
-    /// Contracts of the teams; with none nothing is checked.
+    /// QuotaManager of the teams; with none nothing is checked.
     pub contracts: Option<Vec<Contract>>,
     /// Where budgets are counted.
     pub store: Store,
     /// How front ends know each other; they don't without it.
-    pub peers: Option<PeersTerms>,
+    pub peers: Option<GossipOptions>,
     /// Where a memory is kept for the next process; none is without it.
-    pub state: Option<StateTerms>,
+    pub state: Option<PersistenceOptions>,
 }
 
 impl Operator {
@@ -77,13 +81,22 @@
     ///
     /// # Errors
     /// Names the line that asks for more.
-    pub fn check(&self, limits: &Limits) -> Result<(), Fault> {
-        let needed = self.cores * DESCRIPTORS_A_CORE;
+    pub fn check(&self, limits: &Limits) -> Result<(), OperatorFileError> {
+        let needed = self.cores * MIN_DESCRIPTORS_PER_CORE;
         if self.cores <= 1 || needed <= limits.sockets {
             return Ok(());
         }
         let (cores, sockets) = (self.cores, limits.sockets);
         let what = format!("{cores} cores need {needed} descriptors; the limit is {sockets}");
-        Err(Fault { line: self.cores_line, what })
+        Err(OperatorFileError { line: self.cores_line, what })
     }
 }
+
+/// Reads an operator's file.
+///
+/// # Errors
+/// Says what is wrong with it.
+pub fn read_file(path: &Path) -> Result<Operator, ConfigError> {
+    let text = std::fs::read_to_string(path).map_err(|error| ConfigError::Unreadable(path.into(), error))?;
+    read(&text).map_err(|error| ConfigError::Operator(path.into(), error))
+}
--- a/gateway/src/operator/read.rs
+++ b/gateway/src/operator/read.rs
@@ -1,52 +1,35 @@
-//! Reads an operator's file. Every fault names the line and what was expected there.
+//! Reads an operator's file. Every error names the line and what was expected there.
 
+use super::error::OperatorFileError;
 use super::{EngineWire, FLIGHT_CONNECTIONS, FLIGHT_MESSAGE, FlightFront, Operator, Store, units};
-use crate::contracts::Contract;
-use crate::peers::{BYTES_MOST, Terms as PeersTerms};
-use crate::state::Terms as StateTerms;
-use crate::store::link::Terms;
+use crate::gossip::{BYTES_MOST, GossipOptions};
+use crate::persistence::PersistenceOptions;
+use crate::quotas::Contract;
+use crate::shared_store::SharedStoreOptions;
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use reedwalk_cores::CORES_MOST;
 use std::collections::HashMap;
-use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What is wrong with a file, and where.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// Counted from 1.
-    pub line: usize,
-    /// What was found and what was expected.
-    pub what: String,
-}
-
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: {}", self.line, self.what)
-    }
-}
-
-impl std::error::Error for Fault {}
-
 /// The text, to find lines in.
 struct Text<'a>(&'a str);
 
 impl Text<'_> {
-    fn fault(&self, offset: usize, what: impl Into<String>) -> Fault {
+    fn error(&self, offset: usize, what: impl Into<String>) -> OperatorFileError {
         let before = &self.0.as_bytes()[..offset.min(self.0.len())];
-        Fault { line: 1 + before.iter().filter(|b| **b == b'\n').count(), what: what.into() }
+        OperatorFileError { line: 1 + before.iter().filter(|b| **b == b'\n').count(), what: what.into() }
     }
 
-    fn at(&self, node: &KdlNode, what: impl Into<String>) -> Fault {
+    fn at(&self, node: &KdlNode, what: impl Into<String>) -> OperatorFileError {
         // A node's span begins with the space before it.
         let start = node.span().offset();
         let space = self.0.get(start..).map_or(0, |rest| rest.len() - rest.trim_start().len());
-        self.fault(start + space, what)
+        self.error(start + space, what)
     }
 
     /// The one argument of a node that has nothing else.
-    fn argument<'n>(&self, node: &'n KdlNode, expected: &str) -> Result<&'n KdlValue, Fault> {
+    fn argument<'n>(&self, node: &'n KdlNode, expected: &str) -> Result<&'n KdlValue, OperatorFileError> {
         let name = node.name().value();
         match node.entries() {
             [entry] if entry.name().is_none() && node.children().is_none() => Ok(entry.value()),
@@ -54,16 +37,16 @@
         }
     }
 
-    fn text<'n>(&self, node: &'n KdlNode, expected: &str) -> Result<&'n str, Fault> {
+    fn text<'n>(&self, node: &'n KdlNode, expected: &str) -> Result<&'n str, OperatorFileError> {
         let value = self.argument(node, expected)?;
         value.as_string().ok_or_else(|| self.expected(node, value, expected))
     }
 
-    fn expected(&self, node: &KdlNode, found: &KdlValue, expected: &str) -> Fault {
+    fn expected(&self, node: &KdlNode, found: &KdlValue, expected: &str) -> OperatorFileError {
         self.at(node, format!("'{}' is {found}; expected {expected}", node.name().value()))
     }
 
-    fn count(&self, node: &KdlNode, least: usize, most: usize) -> Result<usize, Fault> {
+    fn count(&self, node: &KdlNode, least: usize, most: usize) -> Result<usize, OperatorFileError> {
         let expected = format!("a whole number from {least} to {most}");
         let value = self.argument(node, &expected)?;
         let number = value.as_integer().and_then(|n| usize::try_from(n).ok());
@@ -71,13 +54,13 @@
         number.ok_or_else(|| self.expected(node, value, &expected))
     }
 
-    fn address(&self, node: &KdlNode) -> Result<SocketAddr, Fault> {
+    fn address(&self, node: &KdlNode) -> Result<SocketAddr, OperatorFileError> {
         let expected = "an address such as \"127.0.0.1:8815\"";
         let text = self.text(node, expected)?;
         self.parse(node, text, expected)
     }
 
-    fn parse(&self, node: &KdlNode, text: &str, expected: &str) -> Result<SocketAddr, Fault> {
+    fn parse(&self, node: &KdlNode, text: &str, expected: &str) -> Result<SocketAddr, OperatorFileError> {
         let name = node.name().value();
         text.parse().map_err(|_| self.at(node, format!("'{name}' is \"{text}\"; expected {expected}")))
     }
@@ -88,7 +71,7 @@
         document: &'n KdlDocument,
         known: &[&str],
         again: &[&str],
-    ) -> Result<Vec<&'n KdlNode>, Fault> {
+    ) -> Result<Vec<&'n KdlNode>, OperatorFileError> {
         let mut seen = Vec::new();
         for node in document.nodes() {
             let name = node.name().value();
@@ -103,16 +86,16 @@
         Ok(document.nodes().iter().collect())
     }
 
-    fn block<'n>(&self, node: &'n KdlNode) -> Result<&'n KdlDocument, Fault> {
+    fn block<'n>(&self, node: &'n KdlNode) -> Result<&'n KdlDocument, OperatorFileError> {
         let name = node.name().value();
         node.children().ok_or_else(|| self.at(node, format!("'{name}' takes a block in braces")))
     }
 
-    fn need<T>(&self, node: &KdlNode, value: Option<T>, name: &str) -> Result<T, Fault> {
+    fn need<T>(&self, node: &KdlNode, value: Option<T>, name: &str) -> Result<T, OperatorFileError> {
         value.ok_or_else(|| self.at(node, format!("'{}' lacks '{name}'", node.name().value())))
     }
 
-    fn flight(&self, node: &KdlNode) -> Result<FlightFront, Fault> {
+    fn flight(&self, node: &KdlNode) -> Result<FlightFront, OperatorFileError> {
         if !node.entries().is_empty() {
             return Err(self.at(node, "'flight' takes a block in braces and nothing else"));
         }
@@ -125,15 +108,15 @@
                     let text = self.text(node, "a size such as \"256KiB\"")?;
                     let bytes = units::size(text).ok().filter(|b| (1 << 10..=16 << 20).contains(b));
                     let expected = "expected a size from \"1KiB\" to \"16MiB\"";
-                    let fault = || self.at(node, format!("'message-most' is \"{text}\"; {expected}"));
-                    message = bytes.ok_or_else(fault)? as usize;
+                    let error = || self.at(node, format!("'message-most' is \"{text}\"; {expected}"));
+                    message = bytes.ok_or_else(error)? as usize;
                 }
             }
         }
         Ok(FlightFront { listen: self.need(node, listen, "listen")?, connections, message_most: message })
     }
 
-    fn contract(&self, node: &KdlNode) -> Result<Contract, Fault> {
+    fn contract(&self, node: &KdlNode) -> Result<Contract, OperatorFileError> {
         let team = match node.entries() {
             [entry] if entry.name().is_none() => entry.value().as_string(),
             _ => None,
@@ -152,18 +135,18 @@
                     classes = Some(names.ok_or_else(|| self.at(node, "'classes' takes names of classes"))?);
                 }
                 "budget" => {
-                    let fault = || self.at(node, "'budget' takes a whole number and window=\"60s\"");
-                    let [amount, window] = entries else { return Err(fault()) };
+                    let error = || self.at(node, "'budget' takes a whole number and window=\"60s\"");
+                    let [amount, window] = entries else { return Err(error()) };
                     let window =
                         window.name().filter(|n| n.value() == "window").and(window.value().as_string());
-                    let window = window.and_then(|w| units::duration(w).ok()).ok_or_else(fault)?;
-                    let amount = whole(amount).filter(|_| amount.name().is_none()).ok_or_else(fault)?;
+                    let window = window.and_then(|w| units::duration(w).ok()).ok_or_else(error)?;
+                    let amount = whole(amount).filter(|_| amount.name().is_none()).ok_or_else(error)?;
                     budget = Some((amount, window.as_millis() as u64));
                 }
                 _ => {
-                    let fault = || self.at(node, "'cost' takes a class and a whole number");
-                    let [class, amount] = entries else { return Err(fault()) };
-                    let (class, amount) = (name(class).ok_or_else(fault)?, whole(amount).ok_or_else(fault)?);
+                    let error = || self.at(node, "'cost' takes a class and a whole number");
+                    let [class, amount] = entries else { return Err(error()) };
+                    let (class, amount) = (name(class).ok_or_else(error)?, whole(amount).ok_or_else(error)?);
                     if cost.insert(class.clone(), amount).is_some() {
                         return Err(self.at(node, format!("the cost of '{class}' stands here a second time")));
                     }
@@ -176,8 +159,8 @@
     }
 
     /// Where budgets are counted and, where its block says so, the keys of requests are shared.
-    fn store(&self, node: &KdlNode) -> Result<Store, Fault> {
-        let fault = || self.at(node, "'store' takes \"memory\", or redis=\"redis://HOST:PORT\" and a block");
+    fn store(&self, node: &KdlNode) -> Result<Store, OperatorFileError> {
+        let error = || self.at(node, "'store' takes \"memory\", or redis=\"redis://HOST:PORT\" and a block");
         match node.entries() {
             [entry] => match (entry.name().map(|n| n.value()), entry.value(), node.children()) {
                 (None, KdlValue::String(kind), None) if kind == "memory" => Ok(Store::Memory),
@@ -185,20 +168,20 @@
                     let terms = block.map(|b| self.terms(b)).transpose()?;
                     Ok(Store::Redis(url.clone(), terms.unwrap_or_default()))
                 }
-                _ => Err(fault()),
+                _ => Err(error()),
             },
-            _ => Err(fault()),
+            _ => Err(error()),
         }
     }
 
     /// How front ends know each other.
-    fn peers(&self, node: &KdlNode) -> Result<PeersTerms, Fault> {
+    fn peers(&self, node: &KdlNode) -> Result<GossipOptions, OperatorFileError> {
         if !node.entries().is_empty() {
             return Err(self.at(node, "'peers' takes a block in braces and nothing else"));
         }
         let line = self.at(node, "").line;
         let (listen, members, keys) = (None, Vec::new(), Vec::new());
-        let mut terms = PeersTerms { line, listen, members, keys, bytes_most: BYTES_MOST, beats: true };
+        let mut terms = GossipOptions { line, listen, members, keys, bytes_most: BYTES_MOST, beats: true };
         let known = ["listen", "member", "key", "bytes-most", "beats"];
         for node in self.nodes(self.block(node)?, &known, &["member", "key"])? {
             let line = self.at(node, "").line;
@@ -239,8 +222,8 @@
                     let text = self.text(node, "a size such as \"8KiB\"")?;
                     let bytes = units::size(text).ok().filter(|b| (512..=1 << 20).contains(b));
                     let expected = "expected a size from \"512B\" to \"1MiB\", for each second";
-                    let fault = || self.at(node, format!("'bytes-most' is \"{text}\"; {expected}"));
-                    terms.bytes_most = bytes.ok_or_else(fault)? as u32;
+                    let error = || self.at(node, format!("'bytes-most' is \"{text}\"; {expected}"));
+                    terms.bytes_most = bytes.ok_or_else(error)? as u32;
                 }
             }
         }
@@ -250,8 +233,8 @@
         Ok(terms)
     }
 
-    fn terms(&self, block: &KdlDocument) -> Result<Terms, Fault> {
-        let mut terms = Terms::default();
+    fn terms(&self, block: &KdlDocument) -> Result<SharedStoreOptions, OperatorFileError> {
+        let mut terms = SharedStoreOptions::default();
         for node in self.nodes(block, &["share-keys", "namespace", "clocks-differ", "wait"], &[])? {
             let span = |least: u64, most: u64| {
                 let text = self.text(node, "a duration such as \"25ms\"")?;
@@ -290,14 +273,14 @@
 /// Reads the text of an operator's file.
 ///
 /// # Errors
-/// The first fault that was found.
-pub fn read(text: &str) -> Result<Operator, Fault> {
+/// The first error that was found.
+pub fn read(text: &str) -> Result<Operator, OperatorFileError> {
     let lines = Text(text);
     let document = KdlDocument::parse(text).map_err(|error| {
         let first = error.diagnostics.first();
         let said = first.and_then(|d| d.message.clone().or(d.label.clone()));
         let what = said.unwrap_or_else(|| "not a KDL document".to_owned());
-        lines.fault(first.map_or(0, |d| d.span.offset()), what)
+        lines.error(first.map_or(0, |d| d.span.offset()), what)
     })?;
     let mut operator = Operator::default();
     let known = ["cores", "flight", "engines", "contract", "store", "peers", "state"];
@@ -327,7 +310,7 @@
                     return Err(lines.at(node, what));
                 }
                 let line = lines.at(node, "").line;
-                operator.state = Some(StateTerms { folder: folder.into(), line });
+                operator.state = Some(PersistenceOptions { folder: folder.into(), line });
             }
             "contract" => operator.contracts.get_or_insert_default().push(lines.contract(node)?),
             _ => operator.store = lines.store(node)?,
--- a/gateway/src/operator/read/tests.rs
+++ b/gateway/src/operator/read/tests.rs
@@ -16,7 +16,7 @@
     assert_eq!((front.connections, front.message_most), (FLIGHT_CONNECTIONS, 64 << 10));
     let contract = &operator.contracts.unwrap()[0];
     assert_eq!((contract.budget, contract.window_ms, contract.cost["statement"]), (600, 60_000, 4));
-    assert_eq!(operator.store, Store::Redis("redis://127.0.0.1:6379".into(), Terms::default()));
+    assert_eq!(operator.store, Store::Redis("redis://127.0.0.1:6379".into(), SharedStoreOptions::default()));
     assert_eq!(read("").unwrap().cores, 0);
 }
 
--- a/gateway/src/state/mod.rs
+++ b/gateway/src/persistence/mod.rs
@@ -5,10 +5,10 @@
 pub mod folder;
 
 use crate::config::Config;
-use crate::figures::Figures;
-use crate::members::Members;
 use crate::message::{BrokerEvent, PersistedEvent};
-use crate::store::unix_ms;
+use crate::metrics::Metrics;
+use crate::registry::EndpointRegistry;
+use crate::shared_store::unix_ms;
 use folder::Folder;
 use reedwalk_recovery::Millis;
 use reedwalk_recovery::keep::{Found, Keeper, look};
@@ -24,13 +24,13 @@
 use tokio::time::Instant;
 
 /// Notes that wait to be written at most.
-pub const LINE: usize = 1024;
+pub const QUEUE_CAPACITY: usize = 1024;
 /// How often another process's lock is tried again.
 const LOCK_EVERY: Duration = Duration::from_millis(100);
 
 /// What an operator's file says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct PersistenceOptions {
     /// The folder.
     pub folder: PathBuf,
     /// The line that names it.
@@ -57,7 +57,7 @@
 }
 
 /// Looks through a folder for what the process before had kept, and says what was found.
-pub fn find(folder: &Folder, owner: Owner, log: &Logger) -> Found {
+pub fn load_snapshot(folder: &Folder, owner: Owner, log: &Logger) -> Found {
     let found = look(folder, owner, unix_ms());
     for (file, why) in &found.unused {
         warn!(log, "not used"; "file" => file, "why" => why);
@@ -70,7 +70,11 @@
 }
 
 /// What a front end tells of its classes from before.
-pub fn paces(memory: &Memory, names: &[String], now: Millis) -> Vec<Option<ClassLatencyStats>> {
+pub fn restored_class_stats(
+    memory: &Memory,
+    names: &[String],
+    now: Millis,
+) -> Vec<Option<ClassLatencyStats>> {
     let against = Against { clock: memory.written > now, ..Against::default() };
     let prior = worth(Fact::Pace, Source::Disk, now.saturating_sub(memory.written), 0, against);
     let pace = |name: &String| {
@@ -83,9 +87,9 @@
 }
 
 /// What the broker is told of engines from before, as far as they are the same ones.
-pub fn engines(memory: &Memory, members: &Members, now: Millis) -> Vec<BrokerEvent> {
+pub fn restored_observations(memory: &Memory, registry: &EndpointRegistry, now: Millis) -> Vec<BrokerEvent> {
     let (age, mut told) = (now.saturating_sub(memory.written), Vec::new());
-    members.each(|name, engine, started| {
+    registry.for_each_engine(|name, engine, started| {
         let Some(kept) = memory.engines.iter().find(|e| e.id == name) else { return };
         let started = started.map_or(0, |t| t.0 / 1000);
         let against =
@@ -106,7 +110,7 @@
 }
 
 /// The thread that writes.
-pub struct Writer {
+pub struct PersistenceThread {
     /// Where.
     pub folder: Folder,
     /// Whose.
@@ -114,23 +118,23 @@
     /// Names of the classes.
     pub classes: Vec<String>,
     /// Names of the engines.
-    pub members: Members,
+    pub registry: EndpointRegistry,
     /// What is reported.
-    pub figures: Arc<Figures>,
+    pub metrics: Arc<Metrics>,
     /// For the log.
     pub log: Logger,
 }
 
 /// What it has done.
 #[derive(Default)]
-struct Tally {
+struct Counters {
     records: u64,
     keys: u64,
     errors: u64,
     dropped: u64,
 }
 
-impl Writer {
+impl PersistenceThread {
     /// Starts it; it ends with the line's other end.
     ///
     /// # Errors
@@ -140,7 +144,7 @@
     }
 
     fn run(mut self, mut notes: mpsc::Receiver<PersistedEvent>) {
-        let (mut tally, mut well, mut said) = (Tally::default(), true, false);
+        let (mut counters, mut well, mut said) = (Counters::default(), true, false);
         let mut writes = None;
         let mut batch = Vec::new();
         while let Some(first) = notes.blocking_recv() {
@@ -159,20 +163,20 @@
                 if !std::mem::replace(&mut said, true) {
                     warn!(self.log, "another process writes in the folder, this one waits");
                 }
-                tally.dropped += batch.drain(..).len() as u64;
-                self.report(&tally);
+                counters.dropped += batch.drain(..).len() as u64;
+                self.report(&counters);
                 std::thread::sleep(LOCK_EVERY);
                 continue;
             };
-            let done = self.write(keeper, &mut batch, &mut tally);
+            let done = self.write(keeper, &mut batch, &mut counters);
             match (&done, well) {
                 (Err(why), true) => error!(self.log, "not kept"; "why" => why),
                 (Ok(()), false) => info!(self.log, "kept again"),
                 _ => {}
             }
-            tally.errors += u64::from(done.is_err());
+            counters.errors += u64::from(done.is_err());
             well = done.is_ok();
-            self.report(&tally);
+            self.report(&counters);
         }
     }
 
@@ -180,7 +184,7 @@
         &mut self,
         keeper: &mut Keeper,
         batch: &mut Vec<PersistedEvent>,
-        tally: &mut Tally,
+        counters: &mut Counters,
     ) -> Result<(), String> {
         let (mut keys, mut all) = (Vec::new(), None);
         for note in batch.drain(..) {
@@ -195,13 +199,13 @@
             keys.iter().for_each(|key| memory.add(*key));
             let memory = memory.checked();
             keeper.save(&mut self.folder, &memory).map_err(|e| e.to_string())?;
-            tally.records += 1;
-            tally.keys += keys.len() as u64;
+            counters.records += 1;
+            counters.keys += keys.len() as u64;
             return Ok(());
         }
         if !keys.is_empty() {
             keeper.append(&mut self.folder, &keys).map_err(|e| e.to_string())?;
-            tally.keys += keys.len() as u64;
+            counters.keys += keys.len() as u64;
         }
         Ok(())
     }
@@ -213,7 +217,7 @@
         keys: Vec<KeyMemory>,
     ) -> Memory {
         let mut engines = Vec::new();
-        self.members.each(|name, engine, started| {
+        self.registry.for_each_engine(|name, engine, started| {
             let Some(look) = looks.iter().find(|l| l.engine == engine) else { return };
             engines.push(EngineMemory {
                 id: name.to_owned(),
@@ -229,16 +233,16 @@
             width: (pace.work_per_thread.mean, pace.work_per_thread.samples),
         };
         let classes = self.classes.iter().zip(classes).map(class).collect();
-        let (written, serial) = (unix_ms(), self.members.serial());
+        let (written, serial) = (unix_ms(), self.registry.serial());
         Memory { written, serial, living: 0, engines, classes, keys }
     }
 
-    fn report(&self, tally: &Tally) {
-        self.figures.set_state(vec![
-            ("records", tally.records, 'c'),
-            ("keys_kept", tally.keys, 'c'),
-            ("errors", tally.errors, 'c'),
-            ("dropped", tally.dropped, 'c'),
+    fn report(&self, counters: &Counters) {
+        self.metrics.set_state(vec![
+            ("records", counters.records, 'c'),
+            ("keys_kept", counters.keys, 'c'),
+            ("errors", counters.errors, 'c'),
+            ("dropped", counters.dropped, 'c'),
         ]);
     }
 }
--- a/gateway/src/store/mod.rs
+++ b/gateway/src/shared_store/mod.rs
@@ -1,6 +1,12 @@
-//! The store that front ends share.
+//! The store that gateways share (Redis): idempotency keys and quota leases.
 
-pub mod link;
+mod background;
+pub mod client;
+mod connection;
+mod options;
+mod scripts;
+
+pub use options::SharedStoreOptions;
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -21,21 +21,21 @@
     /// Serving.
     Open,
     /// Told to end; what is new is still accepted.
-    Ending(End),
+    Ending(ShutdownDeadlines),
     /// Nothing new is accepted; what is taken is finished, and idle sessions close.
-    Closing(End),
+    Closing(ShutdownDeadlines),
 }
 
 /// When the end is to be reached: what SIGKILL finds unanswered is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct ShutdownDeadlines {
     /// By then each request has its answer, its own deadline aside.
     pub answered: Instant,
     /// Then the process is gone.
     pub gone: Instant,
 }
 
-impl End {
+impl ShutdownDeadlines {
     /// The end of a process that was told to end at `told`, where no request's deadline is longer than `longest`.
     pub fn new(told: Instant, longest: Duration) -> Self {
         let longest = told + longest.min(LONGEST_MOST);
@@ -45,7 +45,7 @@
 
 impl Phase {
     /// When the end is to be reached, if one is near.
-    pub fn end(self) -> Option<End> {
+    pub fn end(self) -> Option<ShutdownDeadlines> {
         match self {
             Self::Open => None,
             Self::Ending(end) | Self::Closing(end) => Some(end),
@@ -63,9 +63,9 @@
 
 /// What a signal asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
-    /// End, after the overlap.
-    End,
+pub enum SignalRequest {
+    /// Shut down, after the overlap.
+    Shutdown,
     /// Read the configuration again.
     Reload,
 }
@@ -84,11 +84,11 @@
     }
 
     /// Waits for the next one. Several of a kind that came meanwhile count as one.
-    pub async fn next(&mut self) -> Asked {
+    pub async fn next(&mut self) -> SignalRequest {
         tokio::select! {
-            _ = self.terminate.recv() => Asked::End,
-            _ = self.interrupt.recv() => Asked::End,
-            _ = self.hangup.recv() => Asked::Reload,
+            _ = self.terminate.recv() => SignalRequest::Shutdown,
+            _ = self.interrupt.recv() => SignalRequest::Shutdown,
+            _ = self.hangup.recv() => SignalRequest::Reload,
         }
     }
 }
--- a/gateway/tests/broker.rs
+++ b/gateway/tests/broker.rs
@@ -9,13 +9,13 @@
     Broker, BrokerContext, BrokerOptions, PendingResponse, QUEUE_CAPACITY, RequestQueue,
 };
 use reedwalk_gateway::drain_guard::DrainGuard;
-use reedwalk_gateway::figures::Figures;
 use reedwalk_gateway::message::{
     AttemptEvent, AttemptId, AttemptRequest, AttemptResult, BrokerEvent, Endpoint, EndpointMailbox,
     EndpointUpdate, EngineAddress, EngineTransport, Failure, Rejection, Request, Response, Rows,
 };
+use reedwalk_gateway::metrics::Metrics;
 use reedwalk_gateway::shutdown::Phase;
-use reedwalk_membership::Part;
+use reedwalk_operations::CapacityShare;
 use reedwalk_scheduler::{ClassId, EngineEntry, EngineId, Outcome, Scheduler};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -101,9 +101,9 @@
     request_queue: RequestQueue,
     endpoints: EndpointMailbox,
     orders: Orders,
-    figures: Arc<Figures>,
+    metrics: Arc<Metrics>,
     /// Held so that nothing is said to change.
-    _alone: watch::Sender<Part>,
+    _alone: watch::Sender<CapacityShare>,
     _open: watch::Sender<Phase>,
 }
 
@@ -118,14 +118,14 @@
     let engines = Engines { deeds, orders: orders.clone(), queue: queue.clone(), stopped };
     let gateway = Scheduler::new(deployment.core.clone(), 7).unwrap();
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let figures = Arc::new(Figures::new(&deployment.sockets.classes));
-    let (_alone, part) = watch::channel(Part::default());
+    let metrics = Arc::new(Metrics::new(&deployment.sockets.classes));
+    let (_alone, share) = watch::channel(CapacityShare::default());
     let (_open, phase) = watch::channel(Phase::Open);
     let endpoints = EndpointMailbox::default();
     let context = BrokerContext {
         endpoints: endpoints.clone(),
-        figures: figures.clone(),
-        part,
+        metrics: metrics.clone(),
+        share,
         phase,
         shared_store: None,
         gossip: None,
@@ -134,8 +134,8 @@
     tokio::spawn(
         Broker::new(gateway, engines, &deployment, options, context, queue.clone(), log).run(inputs),
     );
-    let request_queue = RequestQueue::new(queue.clone(), figures.clone());
-    Rig { queue, request_queue, endpoints, orders, figures, _alone, _open }
+    let request_queue = RequestQueue::new(queue.clone(), metrics.clone());
+    Rig { queue, request_queue, endpoints, orders, metrics, _alone, _open }
 }
 
 /// Three engines in service.
@@ -148,8 +148,8 @@
 async fn play(requests: Vec<(usize, u64, u64)>, deeds: Deeds) {
     let rig = rig(deeds);
     list(&rig.endpoints);
-    let (request_queue, figures, orders, start) =
-        (&rig.request_queue, &rig.figures, &rig.orders, Instant::now());
+    let (request_queue, metrics, orders, start) =
+        (&rig.request_queue, &rig.metrics, &rig.orders, Instant::now());
     let waits = requests.into_iter().enumerate().map(|(n, (class, at, patience))| {
         let request_queue = request_queue.clone();
         tokio::spawn(async move {
@@ -165,7 +165,7 @@
     for wait in waits.collect::<Vec<_>>() {
         wait.await.unwrap();
     }
-    assert_eq!(figures.pending(), 0);
+    assert_eq!(metrics.pending(), 0);
     let orders = orders.lock().unwrap();
     for (at, (order, _)) in orders.iter().enumerate() {
         let earlier = || orders[..at].iter().filter(|o| o.0.trace_id == order.trace_id);
--- a/gateway/tests/contracts.rs
+++ b/gateway/tests/contracts.rs
@@ -1,11 +1,12 @@
-//! Contracts and budgets, counted in each front end or leased from a stand-in for Redis.
+//! QuotaManager and budgets, counted in each front end or leased from a stand-in for Redis.
 
 mod support;
 
-use reedwalk_gateway::contracts::{Contract, Contracts};
 use reedwalk_gateway::message::{QuotaDecision, Rejection};
 use reedwalk_gateway::operator::{EngineWire, Operator, Store as Place};
-use reedwalk_gateway::store::link::{Link, Terms};
+use reedwalk_gateway::quotas::{Contract, QuotaManager};
+use reedwalk_gateway::shared_store::SharedStoreOptions;
+use reedwalk_gateway::shared_store::client::SharedStoreClient;
 use reedwalk_scheduler::ClassId;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,38 +24,43 @@
     Contract { team: "desk".into(), classes, budget, window_ms, cost }
 }
 
-/// Contracts over a store whose answers are waited for as long as usual, or long: a machine that stands still for a
+/// QuotaManager over a store whose answers are waited for as long as usual, or long: a machine that stands still for a
 /// moment is no store that fails.
-fn contracts(contract: Contract, gateways: u32, redis: Option<SocketAddr>) -> Arc<Contracts> {
-    contracts_on(contract, gateways, redis, Terms { wait: Duration::from_secs(1), ..Terms::default() })
+fn contracts(contract: Contract, gateways: u32, redis: Option<SocketAddr>) -> Arc<QuotaManager> {
+    contracts_on(
+        contract,
+        gateways,
+        redis,
+        SharedStoreOptions { wait: Duration::from_secs(1), ..SharedStoreOptions::default() },
+    )
 }
 
 fn contracts_on(
     contract: Contract,
     gateways: u32,
     redis: Option<SocketAddr>,
-    terms: Terms,
-) -> Arc<Contracts> {
+    terms: SharedStoreOptions,
+) -> Arc<QuotaManager> {
     static FRONT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(1);
     let classes = ["lookup".to_owned(), "statement".into(), "batch-post".into()];
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let link = redis.map(|address| {
         let front = FRONT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let (url, window) = (format!("redis://{address}"), Duration::from_secs(12));
-        Arc::new(Link::new(&url, terms, front, window, log).unwrap())
+        Arc::new(SharedStoreClient::new(&url, terms, front, window, log).unwrap())
     });
     link.iter().cloned().for_each(|l| _ = tokio::spawn(l.run()));
-    let contracts = Arc::new(Contracts::new(&[contract], &classes, gateways, link).unwrap());
+    let contracts = Arc::new(QuotaManager::new(&[contract], &classes, gateways, link).unwrap());
     tokio::spawn(contracts.clone().run());
     contracts
 }
 
-async fn spend(contracts: &Arc<Contracts>, class: usize) -> bool {
-    let due = contracts.cover(Some("desk"), ClassId(class)).unwrap();
-    matches!(contracts.spend(&due).await, QuotaDecision::Admitted(_))
+async fn spend(contracts: &Arc<QuotaManager>, class: usize) -> bool {
+    let due = contracts.quota_request(Some("desk"), ClassId(class)).unwrap();
+    matches!(contracts.charge(&due).await, QuotaDecision::Admitted(_))
 }
 
-async fn granted(contracts: &Arc<Contracts>, tries: usize) -> usize {
+async fn granted(contracts: &Arc<QuotaManager>, tries: usize) -> usize {
     let mut granted = 0;
     for _ in 0..tries {
         granted += usize::from(spend(contracts, 0).await);
@@ -85,9 +91,9 @@
 async fn a_contract_covers_its_classes_at_their_cost() {
     early_in_the_window().await;
     let contracts = contracts(contract(10, HOUR_MS), 1, None);
-    assert_eq!(contracts.cover(Some("desk"), ClassId(2)), Err(Rejection::Contract));
-    assert_eq!(contracts.cover(Some("others"), ClassId(0)), Err(Rejection::Contract));
-    assert_eq!(contracts.cover(None, ClassId(0)), Err(Rejection::Contract));
+    assert_eq!(contracts.quota_request(Some("desk"), ClassId(2)), Err(Rejection::Contract));
+    assert_eq!(contracts.quota_request(Some("others"), ClassId(0)), Err(Rejection::Contract));
+    assert_eq!(contracts.quota_request(None, ClassId(0)), Err(Rejection::Contract));
     assert!(spend(&contracts, 1).await && spend(&contracts, 1).await);
     assert!(!spend(&contracts, 1).await, "four more do not fit");
     assert_eq!(granted(&contracts, 5).await, 2, "two single ones do");
@@ -96,9 +102,9 @@
 #[tokio::test]
 async fn a_spent_budget_tells_when_the_next_window_begins() {
     let contracts = contracts(contract(0, HOUR_MS), 1, None);
-    let due = contracts.cover(Some("desk"), ClassId(0)).unwrap();
+    let due = contracts.quota_request(Some("desk"), ClassId(0)).unwrap();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
-    let QuotaDecision::Exhausted(after) = contracts.spend(&due).await else { panic!("granted") };
+    let QuotaDecision::Exhausted(after) = contracts.charge(&due).await else { panic!("granted") };
     let ends = (unix + after.as_millis() as u64) % HOUR_MS;
     assert!(!(1000..=HOUR_MS - 1000).contains(&ends), "{ends}");
 }
@@ -136,7 +142,8 @@
     early_in_the_window().await;
     let redis = Redis::default();
     redis.trouble(Some(Trouble::Frozen));
-    let contracts = contracts_on(contract(80, HOUR_MS), 4, Some(redis.start().await), Terms::default());
+    let contracts =
+        contracts_on(contract(80, HOUR_MS), 4, Some(redis.start().await), SharedStoreOptions::default());
     let began = Instant::now();
     assert_eq!(granted(&contracts, 40).await, 10, "half of a fourth of the budget");
     // A few waits of 25 ms, not forty: after those the store is left alone.
--- a/gateway/tests/cores.rs
+++ b/gateway/tests/cores.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use reedwalk_gateway::config::{self, Config, Limits};
+use reedwalk_gateway::config::Config;
+use reedwalk_gateway::limits::Limits;
+use reedwalk_gateway::operator;
 use reedwalk_gateway::operator::{EngineWire, Operator};
 use reedwalk_gateway::serve::Running;
 use reedwalk_standins::driver::{self, Kind, Plan};
@@ -27,14 +29,14 @@
 
 /// The core that holds one more connection than before.
 fn newcomer(running: &Running, before: &[usize]) -> usize {
-    let now = running.cores().held();
+    let now = running.multicore().connections_per_core();
     (0..now.len()).find(|c| now[*c] > before[*c]).expect("no core has a new connection")
 }
 
 /// A core that stands still from before this returns.
 fn stall(running: &Running, core: usize, span: Duration) {
     let (began, begins) = std::sync::mpsc::channel();
-    running.cores().spawn_on(core, async move {
+    running.multicore().spawn_on(core, async move {
         began.send(()).unwrap();
         std::thread::sleep(span);
     });
@@ -52,10 +54,10 @@
 /// A front end on four cores with one engine, a session on one core and a connection to the engine on another.
 async fn apart(world: &World, names: SocketAddr, engine: SocketAddr) -> (Running, Client, usize, usize) {
     let running = gateway(patient(names, engine), cores(4)).await;
-    let before = running.cores().held();
+    let before = running.multicore().connections_per_core();
     let mut client = Client::connect(running.mysql).await;
     let session = newcomer(&running, &before);
-    let before = running.cores().held();
+    let before = running.multicore().connections_per_core();
     assert_eq!(client.ended(&fields("lookup", 5000, None, "SELECT 1")).await, Ended::Served);
     let link = newcomer(&running, &before);
     assert!(session != link && session != 0 && link != 0, "core 0 judges, and each has its own core");
@@ -85,7 +87,10 @@
     assert!(client.answer().await.is_ok(), "the module missed its notes and went elsewhere");
     assert_eq!((world.sends("a"), world.sends("b")), (1, 1));
     // Once the core goes on it has dealt with all that lay there when its beat is back.
-    until("the core has gone on", || stalled.elapsed() > STALL && running.cores().fit(link)).await;
+    until("the core has gone on", || {
+        stalled.elapsed() > STALL && running.multicore().takes_connections(link)
+    })
+    .await;
     assert!(told.elapsed() > GRACE);
     assert_eq!(world.sends("a"), 1, "a late send");
 }
@@ -159,9 +164,9 @@
 async fn a_core_that_stands_still_gets_no_new_connections_until_it_is_back() {
     let world = World::default();
     let running = gateway(config(&[resp::engine("a", world.clone()).await]), cores(4)).await;
-    let cores = running.cores();
+    let cores = running.multicore();
     stall(&running, 1, STALL);
-    until("the stall is seen", || !cores.fit(1)).await;
+    until("the stall is seen", || !cores.takes_connections(1)).await;
     let began = Instant::now();
     let mut clients = Vec::new();
     for n in 0..6 {
@@ -170,13 +175,16 @@
         assert_eq!(client.ended(&asked).await, Ended::Served);
         clients.push(client);
     }
-    assert!(!cores.fit(1) && began.elapsed() < STALL, "all were served while the core stood still");
-    assert_eq!(cores.held()[1], 0);
-    until("the core is back", || cores.fit(1)).await;
+    assert!(
+        !cores.takes_connections(1) && began.elapsed() < STALL,
+        "all were served while the core stood still"
+    );
+    assert_eq!(cores.connections_per_core()[1], 0);
+    until("the core is back", || cores.takes_connections(1)).await;
     let client = Client::connect(running.mysql).await;
-    until("a connection lies there", || cores.held()[1] == 1).await;
+    until("a connection lies there", || cores.connections_per_core()[1] == 1).await;
     drop((client, clients));
-    until("all are gone", || cores.held()[1] == 0).await;
+    until("all are gone", || cores.connections_per_core()[1] == 0).await;
 }
 
 #[tokio::test]
@@ -190,7 +198,7 @@
     assert_eq!(client.ended(&fields("lookup", 1000, None, "SELECT 2")).await, Ended::Failed("DEADLINE"));
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
     // What the judge finds when it goes on was left long ago; what comes then is judged again.
-    until("it goes on", || running.cores().fit(0) && began.elapsed() > STALL).await;
+    until("it goes on", || running.multicore().takes_connections(0) && began.elapsed() > STALL).await;
     assert_eq!(client.ended(&fields("lookup", 5000, None, "SELECT 3")).await, Ended::Served);
     assert_eq!(world.attempts("SELECT 2"), 0);
 }
@@ -204,25 +212,25 @@
     let (server, _) = names::server(list).await;
     let (mut running, mut client, session, link) = apart(&world, server, a).await;
     // A task that panics ends alone.
-    running.cores().spawn_on(session, async { panic!("a task panics, as this test wants") });
+    running.multicore().spawn_on(session, async { panic!("a task panics, as this test wants") });
     assert_eq!(client.ended(&fields("lookup", 5000, None, "SELECT 2")).await, Ended::Served);
     // What must not run twice is out on the core that ends: its end is told at once, not when its time is up.
     client.stream_query(&fields("adjust", 3000, None, "HANG 1")).await;
     until("it is out", || world.attempts("HANG 1") == 1).await;
-    running.cores().stop(link);
+    running.multicore().stop(link);
     assert_eq!(
         client.answer().await.unwrap_err().0,
         1105,
         "failed by its engine's connection, not by its deadline"
     );
-    assert_eq!(running.core_lost().await, Some(link));
+    assert_eq!(running.next_lost_core().await, Some(link));
     assert_eq!(client.ended(&fields("lookup", 5000, None, "SELECT 3")).await, Ended::Served);
     // The core with the session ends: its client sees its connection close.
     client.stream_query(&fields("lookup", 5000, None, "HANG 2")).await;
     until("it is out", || world.attempts("HANG 2") == 1).await;
-    running.cores().stop(session);
+    running.multicore().stop(session);
     assert_eq!(client.read().await, None);
-    assert_eq!(running.core_lost().await, Some(session));
+    assert_eq!(running.next_lost_core().await, Some(session));
     until("its engine was told", || world.was_given_up("HANG 2")).await;
     let mut other = Client::connect(running.mysql).await;
     assert_eq!(other.ended(&fields("lookup", 5000, None, "SELECT 4")).await, Ended::Served);
@@ -235,8 +243,8 @@
     let mut client = Client::connect(running.mysql).await;
     client.stream_query(&fields("lookup", 6000, None, "HANG 1")).await;
     until("it is out", || world.attempts("HANG 1") == 1).await;
-    let unjudged = running.unjudged();
-    running.cores().stop(0);
+    let unjudged = running.broker_ended();
+    running.multicore().stop(0);
     assert_eq!(client.read().await, None, "its connection ends, long before its deadline");
     unjudged.await;
 }
@@ -246,7 +254,7 @@
     let world = World::default();
     let running = gateway(config(&[resp::engine("a", world.clone()).await]), cores(4)).await;
     let (mut one, mut other) = (Client::connect(running.mysql).await, Client::connect(running.mysql).await);
-    let held = running.cores().held();
+    let held = running.multicore().connections_per_core();
     assert!(held.iter().all(|h| *h <= 1), "on two cores: {held:?}");
     one.stream_query(&fields("lookup", 6000, None, "HANG 1")).await;
     until("it is out", || world.attempts("HANG 1") == 1).await;
@@ -261,7 +269,7 @@
     for _ in 0..sessions {
         clients.push(Client::connect(running.mysql).await);
     }
-    let held = running.cores().held();
+    let held = running.multicore().connections_per_core();
     assert!(held[1..].iter().all(|h| *h >= sessions / held.len()), "{held:?}");
     clients
 }
@@ -293,7 +301,7 @@
     *list.lock().unwrap() = (9, vec![listed("s-1", b, false)]);
     let (server, _) = names::server(list).await;
     let took = Instant::now();
-    running.reloads().take(Config { names: Some(server), ..config(&[a]) });
+    running.reloads().apply(Config { names: Some(server), ..config(&[a]) });
     // The first that reaches the new engine; the old one is gone from the list then.
     while world.sends("b") == 0 {
         assert!(took.elapsed() < Duration::from_secs(1));
@@ -412,7 +420,7 @@
     let enough = Limits { sockets: 1088, ..Limits::default() };
     assert_eq!(operator.check(&enough), Ok(()));
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/cores.kdl");
-    let read = config::read_operator(std::path::Path::new(example)).unwrap();
+    let read = operator::read_file(std::path::Path::new(example)).unwrap();
     assert_eq!((read.cores, read.check(&Limits::default())), (4, Ok(())));
 }
 
@@ -425,11 +433,11 @@
     let (server, _) = names::server(list.clone()).await;
     let operator = Operator { cores: 4, ..both_fronts(EngineWire::FlightSql) };
     let running = gateway(patient(server, a), operator).await;
-    let before = running.cores().held();
+    let before = running.multicore().connections_per_core();
     let client = flight::Client::connect(running.flight.unwrap()).await.of("lookup", None);
-    until("the connection lies on a core", || running.cores().held() != before).await;
+    until("the connection lies on a core", || running.multicore().connections_per_core() != before).await;
     let session = newcomer(&running, &before);
-    let before = running.cores().held();
+    let before = running.multicore().connections_per_core();
     assert_eq!(client.ask("SELECT 1").await.unwrap().len(), 600);
     let link = newcomer(&running, &before);
     assert_ne!(session, link);
--- a/gateway/tests/golden.rs
+++ b/gateway/tests/golden.rs
@@ -3,10 +3,11 @@
 
 mod support;
 
-use reedwalk_gateway::state::owner;
-use reedwalk_gateway::store::link::{Link, Terms};
-use reedwalk_gateway::succession::Succession;
-use reedwalk_membership::Stage;
+use reedwalk_gateway::hot_restart::HotRestart;
+use reedwalk_gateway::persistence::owner;
+use reedwalk_gateway::shared_store::SharedStoreOptions;
+use reedwalk_gateway::shared_store::client::SharedStoreClient;
+use reedwalk_operations::ProcessStage;
 use reedwalk_store::keyed::{Close, Sent};
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -52,24 +53,25 @@
 async fn keys_and_values_in_the_shared_store_are_as_before() {
     let redis = Redis::default();
     let url = format!("redis://{}", redis.start().await);
-    let link = Arc::new(Link::new(&url, Terms::default(), FRONT, WINDOW, log()).unwrap());
+    let client =
+        Arc::new(SharedStoreClient::new(&url, SharedStoreOptions::default(), FRONT, WINDOW, log()).unwrap());
     let by = || Instant::now() + Duration::from_secs(5);
-    let (key, holder) = (link.key("batch-post", b"k1"), link.holder());
-    link.claim(&key, holder, false, WINDOW, by()).await.expect("claimed");
+    let (key, holder) = (client.request_key("batch-post", b"k1"), client.next_holder());
+    client.claim(&key, holder, false, WINDOW, by()).await.expect("claimed");
     let (at, lease) = ("reedwalk:1:key:batch-post:k1", "reedwalk:1:key:batch-post:k1:lease");
     let name = "0000000000000abc-1";
     let claimed = format!("h={name} s=c");
     assert_eq!(contents(&redis), pairs([(at, &claimed), (lease, name)]));
 
     let sent = Sent { group: 7, at_ms: 1_764_612_345_678 };
-    assert_eq!(link.mark(&key, holder, sent, WINDOW, by()).await, Some(true));
+    assert_eq!(client.record_sent(&key, holder, sent, WINDOW, by()).await, Some(true));
     let marked = format!("h={name} s=s v={SENT}");
     assert_eq!(contents(&redis), pairs([(at, &marked), (lease, name)]));
 
-    let budget = link.budget("acquiring", 60_000, 29_410_205);
-    assert_eq!(link.lease(&budget, 25, 600, u64::MAX >> 12, by()).await, Some(25));
-    link.close(key, holder, WINDOW, Close::Done(b"an answer, packed".to_vec()));
-    let writer = tokio::spawn(link.run());
+    let budget = client.quota_key("acquiring", 60_000, 29_410_205);
+    assert_eq!(client.lease_quota(&budget, 25, 600, u64::MAX >> 12, by()).await, Some(25));
+    client.close(key, holder, WINDOW, Close::Done(b"an answer, packed".to_vec()));
+    let writer = tokio::spawn(client.run());
     let done = format!("h= s=d v={DONE}");
     until("the end is written", || contents(&redis).get(at) == Some(&done)).await;
     writer.abort();
@@ -82,12 +84,12 @@
 #[test]
 fn process_file_is_written_as_before() {
     let folder = folder();
-    let mut own = Succession::enter(&folder, "n0-3306", log());
+    let mut own = HotRestart::enter(&folder, "n0-3306", log());
     let read = || std::fs::read_to_string(folder.join("n0-3306.process-0")).unwrap();
     assert_eq!(read(), "starting");
-    own.say(Stage::Serving);
+    own.set_stage(ProcessStage::Serving);
     assert_eq!(read(), "serving ");
-    own.say(Stage::Closing);
+    own.set_stage(ProcessStage::Closing);
     assert_eq!(read(), "closing ");
 }
 
@@ -101,9 +103,9 @@
         std::fs::write(&path, word).unwrap();
         let other = File::open(&path).unwrap();
         other.lock().unwrap();
-        let own = Succession::enter(&folder, "n0-3306", log());
-        let part = *own.part().borrow();
-        assert_eq!((part.share, part.relieved), (share, relieved), "{word}");
+        let own = HotRestart::enter(&folder, "n0-3306", log());
+        let own = *own.share().borrow();
+        assert_eq!((own.share, own.relieved), (share, relieved), "{word}");
     }
 }
 
--- a/gateway/tests/leaving.rs
+++ b/gateway/tests/leaving.rs
@@ -219,7 +219,7 @@
         }
         assert_eq!(late(&world, &statements, left), Vec::<String>::new());
     };
-    tokio::join!(gateway.relieved(Instant::now()), left_in_overlap);
+    tokio::join!(gateway.overlap(Instant::now()), left_in_overlap);
 }
 
 /// A listener whose queue is full: connections to it come up when it has been emptied.
--- a/gateway/tests/members.rs
+++ b/gateway/tests/members.rs
@@ -4,12 +4,13 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
+use reedwalk_gateway::discovery::endpoint_list::EndpointList;
 use reedwalk_gateway::drain_guard::DrainGuards;
-use reedwalk_gateway::figures::Figures;
-use reedwalk_gateway::members::Members;
-use reedwalk_gateway::members::keep::Keep;
 use reedwalk_gateway::message::{EndpointMailbox, EndpointUpdate};
-use reedwalk_gateway::names::list::Book;
+use reedwalk_gateway::metrics::Metrics;
+use reedwalk_gateway::registry::EndpointRegistry;
+use reedwalk_gateway::registry::override_file::OverrideFile;
+use reedwalk_operations::Override;
 use reedwalk_scheduler::EngineState;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -41,7 +42,7 @@
 
 /// One process: what its broker would know.
 struct Process {
-    members: Members,
+    registry: EndpointRegistry,
     endpoints: EndpointMailbox,
     known: HashMap<u32, EndpointUpdate>,
 }
@@ -70,17 +71,17 @@
         let endpoints = EndpointMailbox::default();
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let drain_guards = DrainGuards::new(Duration::from_secs(2));
-        let keep = Some(Keep::new(folder, "test"));
-        let members = Members::new(
-            Book::new(sockets),
+        let keep = Some(OverrideFile::new(folder, "test"));
+        let registry = EndpointRegistry::new(
+            EndpointList::new(sockets),
             drain_guards,
             endpoints.clone(),
-            Arc::new(Figures::default()),
+            Arc::new(Metrics::default()),
             keep,
             log,
         );
-        members.start(&list.known()).unwrap();
-        Self { members, endpoints, known: HashMap::new() }
+        registry.start(&list.known()).unwrap();
+        Self { registry, endpoints, known: HashMap::new() }
     }
 
     fn read(&mut self) {
@@ -102,11 +103,12 @@
                 let started = if restarted { u64::from(list.seq) } else { list.engines[&engine].1 };
                 list.engines.insert(engine, (state, started));
                 for process in &mut processes {
-                    process.members.refresh(&list.known()).unwrap();
+                    process.registry.refresh(&list.known()).unwrap();
                 }
             }
             Step::Call(at, engine, call_out) => {
-                let said = processes[at].members.say(&format!("s-{engine}"), call_out).await;
+                let value = if call_out { Override::Out } else { Override::Returned };
+                let said = processes[at].registry.set_override(&format!("s-{engine}"), value).await;
                 prop_assert_eq!(said.is_ok(), engine < ENGINES, "an unknown id is a no, and no other");
                 if engine < ENGINES && call_out {
                     out.insert(engine);
@@ -115,7 +117,7 @@
                 }
                 // The answer binds the one that gave it at once; the other looks at the record.
                 processes[at].read();
-                processes[1 - at].members.look();
+                processes[1 - at].registry.reload_overrides();
             }
             Step::Replaced(at) => processes[at] = Process::start(&folder, &list),
         }
--- a/gateway/tests/names.rs
+++ b/gateway/tests/names.rs
@@ -3,13 +3,13 @@
 mod support;
 
 use hickory_proto::op::ResponseCode;
+use reedwalk_gateway::discovery::dns::{BadAnswer, query, read};
+use reedwalk_gateway::discovery::endpoint_list::EndpointList;
+use reedwalk_gateway::discovery::{DiscoverySource, watch};
 use reedwalk_gateway::drain_guard::DrainGuards;
-use reedwalk_gateway::figures::Figures;
-use reedwalk_gateway::members::Members;
 use reedwalk_gateway::message::{Endpoint, EndpointMailbox};
-use reedwalk_gateway::names::dns::{BadAnswer, query, read};
-use reedwalk_gateway::names::list::Book;
-use reedwalk_gateway::names::{Source, watch};
+use reedwalk_gateway::metrics::Metrics;
+use reedwalk_gateway::registry::EndpointRegistry;
 use reedwalk_scheduler::{EngineState, Time};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -21,12 +21,12 @@
     Engine { id: id.into(), address: ([10, 1, 0, last], 8080).into(), draining: false, started_ms: 0 }
 }
 
-fn book() -> Book {
+fn book() -> EndpointList {
     let sockets = reedwalk_settings::read(&support::settings()).unwrap().sockets;
-    Book::new(Arc::new(sockets))
+    EndpointList::new(Arc::new(sockets))
 }
 
-fn told(book: &mut Book, serial: u32, engines: &[Engine]) -> Vec<Endpoint> {
+fn told(book: &mut EndpointList, serial: u32, engines: &[Engine]) -> Vec<Endpoint> {
     book.take(read(&answer(7, serial, engines).to_vec().unwrap(), &[7]).unwrap())
 }
 
@@ -145,13 +145,13 @@
 }
 
 /// A list that is kept up from this source.
-fn watched(source: Source) -> (tokio::sync::watch::Sender<Source>, EndpointMailbox) {
+fn watched(source: DiscoverySource) -> (tokio::sync::watch::Sender<DiscoverySource>, EndpointMailbox) {
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let (source, sources) = tokio::sync::watch::channel(source);
-    let (endpoints, figures) = (EndpointMailbox::default(), Arc::new(Figures::default()));
+    let (endpoints, metrics) = (EndpointMailbox::default(), Arc::new(Metrics::default()));
     let drain_guards = DrainGuards::new(Duration::from_secs(2));
-    let members = Members::new(book(), drain_guards, endpoints.clone(), figures, None, log.clone());
-    tokio::spawn(watch(sources, members, 7, log));
+    let registry = EndpointRegistry::new(book(), drain_guards, endpoints.clone(), metrics, None, log.clone());
+    tokio::spawn(watch(sources, registry, 7, log));
     (source, endpoints)
 }
 
@@ -172,7 +172,7 @@
 async fn an_answer_that_comes_after_the_next_query_still_counts() {
     // Asked every 250 ms, it answers each query 600 ms late.
     let server = late_server(vec![engine("s-0", 1)], Duration::from_millis(600)).await;
-    let (_source, endpoints) = watched(Source { server: Some(server), known: None });
+    let (_source, endpoints) = watched(DiscoverySource { server: Some(server), known: None });
     assert_eq!(news(&endpoints).await.len(), 1);
 }
 
@@ -180,7 +180,7 @@
 async fn a_way_to_the_name_server_that_goes_silent_for_good_is_given_up_for_a_fresh_one() {
     let list: List = Arc::new(Mutex::new((1, vec![engine("s-0", 1)])));
     let (server, unanswered) = deaf_server(list.clone(), 1).await;
-    let (_source, endpoints) = watched(Source { server: Some(server), known: None });
+    let (_source, endpoints) = watched(DiscoverySource { server: Some(server), known: None });
     assert_eq!(news(&endpoints).await.len(), 1);
     *list.lock().unwrap() = (2, vec![engine("s-0", 1), engine("s-1", 2)]);
     assert_eq!(news(&endpoints).await.len(), 1, "the second one");
@@ -192,9 +192,9 @@
     let list: List = Arc::new(Mutex::new((1, vec![engine("s-0", 1)])));
     let (old, _) = server(list.clone()).await;
     let (new, unanswered) = deaf_server(list.clone(), 0).await;
-    let (source, endpoints) = watched(Source { server: Some(old), known: None });
+    let (source, endpoints) = watched(DiscoverySource { server: Some(old), known: None });
     assert_eq!(news(&endpoints).await.len(), 1);
-    source.send(Source { server: Some(new), known: None }).unwrap();
+    source.send(DiscoverySource { server: Some(new), known: None }).unwrap();
     until("the new one is asked", || *unanswered.lock().unwrap() > 0).await;
     // The old one is asked no more, and nothing of it is taken.
     *list.lock().unwrap() = (2, vec![engine("s-0", 1), engine("s-1", 2)]);
--- a/gateway/tests/operation.rs
+++ b/gateway/tests/operation.rs
@@ -2,7 +2,8 @@
 
 mod support;
 
-use reedwalk_gateway::config::{Config, Limits};
+use reedwalk_gateway::config::Config;
+use reedwalk_gateway::limits::Limits;
 use reedwalk_gateway::operator::{EngineWire, Operator};
 use serde_json::json;
 use std::net::SocketAddr;
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use reedwalk_gateway::engine::resp::wire::{put_array, put_attempt, read_page, read_reply, take_array};
-use reedwalk_gateway::flight_meta::timeout;
+use reedwalk_gateway::front::flight::metadata::timeout;
 use reedwalk_gateway::front::mysql::packet::{Writer, read_command, read_login, take_packet};
 use reedwalk_gateway::front::mysql::statement::{group, kill_query, take_fields};
 use reedwalk_gateway::message::Rows;
@@ -92,7 +92,7 @@
         let _ = (read_login(bytes.clone()), read_command(bytes.clone()), take_fields(&bytes));
         let _ = (group(&bytes), kill_query(&bytes), read_page(&bytes, &mut Rows::default()));
         let id = garbage.first_chunk().map_or(0, |id| u16::from_be_bytes(*id));
-        let _ = reedwalk_gateway::names::dns::read(&garbage, &[id]);
+        let _ = reedwalk_gateway::discovery::dns::read(&garbage, &[id]);
         let _ = timeout(&String::from_utf8_lossy(&garbage));
     }
 
--- a/gateway/tests/peers_config.rs
+++ b/gateway/tests/peers_config.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use reedwalk_gateway::config::Config;
+use reedwalk_gateway::gossip::group;
 use reedwalk_gateway::operator;
-use reedwalk_gateway::peers::tier;
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 use support::{config, folder};
@@ -18,7 +18,7 @@
 
 fn said(block: &str, config: &Config) -> Result<String, String> {
     let operator = operator::read(block).map_err(|f| f.to_string())?;
-    let tier = tier(&operator.peers.unwrap(), config).map_err(|f| f.to_string())?;
+    let tier = group(&operator.peers.unwrap(), config).map_err(|f| f.to_string())?;
     Ok(tier.map_or("off".into(), |t| {
         format!("{} of {} at {} {}", t.me, t.addresses.len(), t.listen, t.signed())
     }))
--- a/gateway/tests/program.rs
+++ b/gateway/tests/program.rs
@@ -183,7 +183,7 @@
     assert!(!run(&["check-config", "--config", "/nowhere"]).0);
     assert!(run(&["check-config", "--config", "x", "--unheard"]).2.contains("not understood"));
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/flight.kdl");
-    let read = reedwalk_gateway::config::read_operator(std::path::Path::new(example)).unwrap();
+    let read = reedwalk_gateway::operator::read_file(std::path::Path::new(example)).unwrap();
     let deployment = reedwalk_settings::read(&settings()).unwrap();
-    assert!(reedwalk_gateway::serve::contracts(&read, &deployment, None).unwrap().is_some());
+    assert!(reedwalk_gateway::serve::quotas(&read, &deployment, None).unwrap().is_some());
 }
--- a/gateway/tests/shared_store.rs
+++ b/gateway/tests/shared_store.rs
@@ -5,7 +5,7 @@
 use reedwalk_gateway::config::Config;
 use reedwalk_gateway::operator::{EngineWire, Operator, Store};
 use reedwalk_gateway::serve::Running;
-use reedwalk_gateway::store::link::Terms;
+use reedwalk_gateway::shared_store::SharedStoreOptions;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -22,7 +22,12 @@
     front_on(engines, redis, scope, terms()).await
 }
 
-async fn front_on(engines: &[SocketAddr; 2], redis: SocketAddr, scope: &str, terms: Terms) -> Running {
+async fn front_on(
+    engines: &[SocketAddr; 2],
+    redis: SocketAddr,
+    scope: &str,
+    terms: SharedStoreOptions,
+) -> Running {
     front_but(engines, redis, scope, terms, None).await
 }
 
@@ -31,7 +36,7 @@
     engines: &[SocketAddr; 2],
     redis: SocketAddr,
     scope: &str,
-    terms: Terms,
+    terms: SharedStoreOptions,
     draining: Option<usize>,
 ) -> Running {
     let (settings, mut known) = halls(engines, scope);
@@ -74,8 +79,8 @@
 }
 
 /// Long waits, so that a machine that stands still for a moment is no store that fails.
-fn terms() -> Terms {
-    Terms { share_keys: true, wait: Duration::from_millis(500), ..Terms::default() }
+fn terms() -> SharedStoreOptions {
+    SharedStoreOptions { share_keys: true, wait: Duration::from_millis(500), ..SharedStoreOptions::default() }
 }
 
 async fn engines(world: &World) -> [SocketAddr; 2] {
@@ -234,7 +239,7 @@
 async fn a_store_that_fails_in_any_way_costs_a_request_little_and_never_its_answer() {
     let (world, redis) = (World::default(), Redis::default());
     let (engines, address) = (engines(&world).await, redis.start().await);
-    let usual = Terms { share_keys: true, ..Terms::default() };
+    let usual = SharedStoreOptions { share_keys: true, ..SharedStoreOptions::default() };
     let front = front_on(&engines, address, "all", usual).await;
     found(&redis, 1).await;
     let troubles = [
--- a/gateway/tests/shutdown.rs
+++ b/gateway/tests/shutdown.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use reedwalk_gateway::shutdown::{End, Phase};
+use reedwalk_gateway::shutdown::{Phase, ShutdownDeadlines};
 use std::time::Duration;
 use support::mysql::{Client, fields};
 use support::process::Process;
@@ -21,7 +21,7 @@
 fn all_is_answered_and_the_process_gone_before_the_platform_kills_it() {
     let told = Instant::now();
     for (longest, counted) in [(0, 0), (200, 200), (2_000, 2_000), (3_000, 3_000), (16_000, 3_000)] {
-        let end = End::new(told, ms(longest));
+        let end = ShutdownDeadlines::new(told, ms(longest));
         assert!(end.answered < end.gone && end.gone < told + ms(counted) + KILLED_AFTER, "{longest}");
         // What came in the overlap and keeps to its deadline is not cut short.
         assert!(end.answered >= told + ms(counted) + ms(600), "{longest}");
@@ -39,7 +39,7 @@
     until("the engine has it", || world.attempts("HANG 1") == 1).await;
     // Told to end a while ago, it has 600 ms left.
     let told = Instant::now() - ms(3_000);
-    gateway.relieved(told).await;
+    gateway.overlap(told).await;
     late.stream_query(&fields("statement", 9000, None, "HANG 2")).await;
     until("the engine has that too", || world.attempts("HANG 2") == 1).await;
     let closed = tokio::spawn(gateway.close(told));
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -8,7 +8,8 @@
 pub use reedwalk_standins::config::{known, settings};
 pub use reedwalk_standins::{Ended, World, console, flight, mysql, names, redis, resp, until};
 
-use reedwalk_gateway::config::{Config, Limits};
+use reedwalk_gateway::config::Config;
+use reedwalk_gateway::limits::Limits;
 use reedwalk_gateway::operator::{EngineWire, FlightFront, Operator};
 use reedwalk_gateway::serve::{Running, start};
 use std::net::SocketAddr;
--- a/measures/src/lib.rs
+++ b/measures/src/lib.rs
@@ -161,7 +161,7 @@
     (after[11].parse::<f64>().unwrap() + after[12].parse::<f64>().unwrap()) * 10.0
 }
 
-/// Cores of this machine.
+/// Multicore of this machine.
 pub fn machine() -> usize {
     std::thread::available_parallelism().map_or(0, usize::from)
 }
--- /dev/null
+++ b/operations/src/capacity/tests.rs
@@ -0,0 +1,23 @@
+use super::*;
+use ProcessStage::{Closing, Serving, Starting};
+
+#[test]
+fn the_parts_of_all_that_live_make_one_whole() {
+    let stages = [Starting, Serving, Closing];
+    for all in stages.iter().flat_map(|a| stages.iter().map(move |b| [*a, *b, Closing])) {
+        let shares = (0..all.len()).map(|own| {
+            let others: Vec<_> = (0..all.len()).filter(|n| *n != own).map(|n| all[n]).collect();
+            capacity_share(all[own], &others).share
+        });
+        assert!((shares.sum::<f64>() - 1.0).abs() < 1e-9);
+    }
+}
+
+#[test]
+fn one_alone_has_all_and_two_that_serve_half_each() {
+    assert_eq!(capacity_share(Serving, &[]), CapacityShare::default());
+    assert_eq!(capacity_share(Starting, &[Serving]), CapacityShare { share: 0.5, relieved: true });
+    assert_eq!(capacity_share(Serving, &[Starting]), CapacityShare { share: 0.5, relieved: false });
+    assert_eq!(capacity_share(Serving, &[Closing]).share, 0.75);
+    assert_eq!(capacity_share(Closing, &[Serving]), CapacityShare { share: 0.25, relieved: true });
+}
--- a/membership/src/record/tests.rs
+++ b/operations/src/override_codec/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-fn some() -> Hand {
-    let mut hand = Hand::default();
-    hand.say("s-00c41f7a", Word::Out, 1_764_612_345_678_901).unwrap();
-    hand.say("s-2", Word::Out, 5).unwrap();
-    hand.say("s-2", Word::Back, 6).unwrap();
-    hand
+fn some() -> Overrides {
+    let mut overrides = Overrides::default();
+    overrides.set("s-00c41f7a", Override::Out, 1_764_612_345_678_901).unwrap();
+    overrides.set("s-2", Override::Out, 5).unwrap();
+    overrides.set("s-2", Override::Returned, 6).unwrap();
+    overrides
 }
 
 #[test]
 fn what_is_written_is_read_again() {
     assert_eq!(read(&write(&some())), Ok(some()));
-    assert_eq!(read(&write(&Hand::default())), Ok(Hand::default()));
+    assert_eq!(read(&write(&Overrides::default())), Ok(Overrides::default()));
 }
 
 #[test]
@@ -38,6 +38,6 @@
 #[test]
 fn another_version_is_not_guessed_at() {
     let text = String::from_utf8(write(&some())).unwrap().replace("words 1\n", "words 2\n");
-    assert_eq!(read(text.as_bytes()), Err(BadRecord::Version));
-    assert_eq!(read(&vec![b'x'; RECORD_MOST + 1]), Err(BadRecord::TooLarge));
+    assert_eq!(read(text.as_bytes()), Err(OverrideRecordError::Version));
+    assert_eq!(read(&vec![b'x'; MAX_RECORD_BYTES + 1]), Err(OverrideRecordError::TooLarge));
 }
--- /dev/null
+++ b/operations/src/overrides/tests.rs
@@ -0,0 +1,49 @@
+use super::*;
+
+#[test]
+fn a_call_out_may_come_twice_and_one_call_back_undoes_both() {
+    let mut overrides = Overrides::default();
+    assert_eq!(overrides.set("s-1", Override::Out, 10), Ok(true));
+    assert_eq!(overrides.set("s-1", Override::Out, 20), Ok(false));
+    assert!(overrides.is_out("s-1") && !overrides.is_out("s-2"));
+    assert_eq!(overrides.set("s-1", Override::Returned, 30), Ok(true));
+    assert!(!overrides.is_out("s-1"));
+    assert_eq!(overrides.returned_at("s-1"), Some(30));
+    assert_eq!(overrides.set("s-1", Override::Returned, 40), Ok(false), "it is not started twice");
+    assert_eq!(
+        overrides.set("s-2", Override::Returned, 40),
+        Ok(false),
+        "it was never out and keeps its warmth"
+    );
+    assert_eq!(overrides.returned_at("s-2"), None);
+}
+
+#[test]
+fn a_later_word_holds_though_the_clock_has_stepped_back() {
+    let mut overrides = Overrides::default();
+    overrides.set("s-1", Override::Out, 1_000).unwrap();
+    let mut other = overrides.clone();
+    other.set("s-1", Override::Returned, 5).unwrap();
+    assert_eq!(overrides.merge(&other), ["s-1"]);
+    assert!(!overrides.is_out("s-1"));
+    assert!(overrides.merge(&other).is_empty());
+}
+
+#[test]
+fn words_stay_bounded_and_none_that_an_engine_is_out_is_forgotten() {
+    let mut overrides = Overrides::default();
+    for n in 0..MAX_OVERRIDES as u64 {
+        overrides.set(&format!("out-{n}"), Override::Out, n).unwrap();
+    }
+    assert_eq!(overrides.set("one-more", Override::Out, 9_999), Err(TooManyOverrides));
+    for n in 0..2 * MAX_OVERRIDES as u64 {
+        overrides.set("out-0", Override::Returned, 10_000 + n).unwrap();
+        overrides.set("out-0", Override::Out, 10_000 + n).unwrap();
+        let name = format!("back-{n}");
+        overrides.by_engine.insert(name, TimedOverride { at: n, value: Override::Returned });
+    }
+    overrides.set("out-1", Override::Returned, 99_999).unwrap();
+    assert_eq!(overrides.count(Override::Out), MAX_OVERRIDES - 1);
+    assert_eq!(overrides.count(Override::Returned), MAX_OVERRIDES);
+    assert_eq!(overrides.returned_at("out-1").map(|at| at >= 99_999), Some(true), "the oldest go first");
+}
--- a/membership/tests/model.rs
+++ b/operations/tests/model.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
-use reedwalk_membership::{Hand, Word, read, write};
+use reedwalk_operations::{Override, Overrides, read, write};
 use std::collections::BTreeSet;
 
 fn fixed(cases: u32) -> Config {
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A word given to one of the processes, whose clock is off by some microseconds.
+    /// A value given to one of the processes, whose clock is off by some microseconds.
     Say { process: usize, engine: u8, out: bool, clock: u64 },
     /// A process ends and the next starts from the record.
     Replaced(usize),
@@ -41,25 +41,25 @@
     fn two_processes_hold_what_was_said_last_whatever_their_clocks_say(
         steps in prop::collection::vec(step(), 1..60),
     ) {
-        let (mut record, mut model) = (write(&Hand::default()), BTreeSet::new());
-        let mut processes = [Hand::default(), Hand::default()];
+        let (mut record, mut model) = (write(&Overrides::default()), BTreeSet::new());
+        let mut processes = [Overrides::default(), Overrides::default()];
         for step in steps {
             match step {
                 Step::Say { process, engine, out, clock } => {
-                    // As a call does it: what is kept first, then the word, then the record.
-                    let (hand, name) = (&mut processes[process], format!("s-{engine}"));
-                    hand.merge(&read(&record).unwrap());
-                    prop_assert_eq!(hand.out(&name), model.contains(&name));
-                    let changed = hand.say(&name, if out { Word::Out } else { Word::Back }, clock).unwrap();
+                    // As a call does it: what is kept first, then the value, then the record.
+                    let (overrides, name) = (&mut processes[process], format!("s-{engine}"));
+                    overrides.merge(&read(&record).unwrap());
+                    prop_assert_eq!(overrides.is_out(&name), model.contains(&name));
+                    let changed = overrides.set(&name, if out { Override::Out } else { Override::Returned }, clock).unwrap();
                     prop_assert_eq!(changed, out != model.contains(&name));
                     if out { model.insert(name) } else { model.remove(&name) };
-                    record = write(hand);
+                    record = write(overrides);
                 }
                 Step::Replaced(process) => processes[process] = read(&record).unwrap(),
                 Step::Looks(process) => {
                     processes[process].merge(&read(&record).unwrap());
                     let held: BTreeSet<_> =
-                        processes[process].words().filter(|w| w.1.word == Word::Out).map(|w| w.0.to_owned()).collect();
+                        processes[process].iter().filter(|w| w.1.value == Override::Out).map(|w| w.0.to_owned()).collect();
                     prop_assert_eq!(&held, &model);
                 }
             }
@@ -71,14 +71,14 @@
     fn merging_comes_to_the_same_in_any_order(
         words in prop::collection::vec((0usize..3, 0u8..4, any::<bool>(), 0u64..20), 0..40),
     ) {
-        let mut hands = [Hand::default(), Hand::default(), Hand::default()];
+        let mut hands = [Overrides::default(), Overrides::default(), Overrides::default()];
         for (n, engine, out, at) in words {
-            hands[n].say(&format!("s-{engine}"), if out { Word::Out } else { Word::Back }, at).unwrap();
+            hands[n].set(&format!("s-{engine}"), if out { Override::Out } else { Override::Returned }, at).unwrap();
         }
         let merged = |order: [usize; 3]| {
-            let mut hand = Hand::default();
-            order.iter().for_each(|n| _ = hand.merge(&hands[*n]));
-            hand
+            let mut overrides = Overrides::default();
+            order.iter().for_each(|n| _ = overrides.merge(&hands[*n]));
+            overrides
         };
         let first = merged([0, 1, 2]);
         for order in [[0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
@@ -89,12 +89,12 @@
     #[test]
     fn no_bytes_break_the_reader(bytes in prop::collection::vec(any::<u8>(), 0..200), cut in 0usize..400) {
         let _ = read(&bytes);
-        let mut hand = Hand::default();
-        hand.say("s-1", Word::Out, 7).unwrap();
-        let mut record = write(&hand);
+        let mut overrides = Overrides::default();
+        overrides.set("s-1", Override::Out, 7).unwrap();
+        let mut record = write(&overrides);
         record.truncate(cut);
         record.extend(&bytes);
         // What is read at all is what was written.
-        prop_assert!(read(&record).map_or(true, |read| read == hand));
+        prop_assert!(read(&record).map_or(true, |read| read == overrides));
     }
 }
