--- a/gateway/src/front/mysql/packet.rs
+++ b/gateway/src/front/mysql/packet.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 /// The largest packet taken from a client.
-const PACKET_MOST: usize = 256 * 1024;
+const MAX_PACKET_BYTES: usize = 256 * 1024;
 const SERVER_VERSION: &[u8] = b"8.0.36-reedwalk\0";
 const PLUGIN: &[u8] = b"mysql_native_password\0";
 const CLIENT_CONNECT_WITH_DB: u32 = 0x8;
@@ -50,7 +50,7 @@
     if number != sequence {
         return Err(BadFraming("packet out of turn"));
     }
-    if size > PACKET_MOST {
+    if size > MAX_PACKET_BYTES {
         return Err(BadFraming("packet too large"));
     }
     Ok(size)
--- /dev/null
+++ b/gateway/src/gossip/task.rs
@@ -0,0 +1,308 @@
+//! The gossip task: it owns the socket, feeds datagrams and timers to the gossip node, and carries out its actions.
+
+use super::GossipGroup;
+use super::keys::read_keys;
+use crate::discovery::DiscoverySource;
+use crate::message::{BrokerEvent, OutlierKind, OutlierReport};
+use crate::metrics::{Metric, Metrics};
+use crate::registry::EndpointRegistry;
+use crate::shared_store::unix_ms;
+use reedwalk_gossip::{
+    EngineKey, FactKind, GossipAction, GossipEjection, GossipNode, MAX_DATAGRAM_BYTES, Millis, NodeSetup,
+    OwnObservation, PeerId, SharedObservation,
+};
+use reedwalk_scheduler::{EngineId, EngineObservation, Time};
+use slog::{Logger, debug, error, info, warn};
+use std::collections::{BTreeMap, HashMap};
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::UdpSocket;
+use tokio::sync::{mpsc, watch};
+use tokio::time::{Instant, sleep_until};
+
+/// Outlier reports that wait to be sent at most; what is found beyond them is found again.
+pub const MAX_PENDING_OUTLIERS: usize = 64;
+/// How often the endpoint list is checked for engines that are new or have restarted.
+const ENDPOINT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// How often the socket is tried again while another process of this gateway still has it.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Datagrams that are read in a turn; other work gets its turn in between.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
+
+/// What the task needs of the rest of the program.
+pub struct GossipContext {
+    /// The endpoint list.
+    pub registry: EndpointRegistry,
+    /// The broker's queue.
+    pub events: mpsc::Sender<BrokerEvent>,
+    /// What this gateway finds out about engines.
+    pub outliers: mpsc::Receiver<OutlierReport>,
+    /// What it observes of engines.
+    pub observations: watch::Receiver<Vec<EngineObservation>>,
+    /// Changes when the configuration is read again; the keys are read again then.
+    pub sources: watch::Receiver<DiscoverySource>,
+    /// True once this process shuts down: the next one takes the address.
+    pub closing: watch::Receiver<bool>,
+    /// The metrics.
+    pub metrics: Arc<Metrics>,
+    /// For random numbers.
+    pub seed: u64,
+}
+
+/// The gossip task of one gateway.
+pub struct GossipTask {
+    group: GossipGroup,
+    context: GossipContext,
+    node: GossipNode,
+    /// The Unix time at the start, and the instant of that: the task's clock goes forward only.
+    started_ms: Millis,
+    started_at: Instant,
+    peer_by_address: HashMap<SocketAddr, PeerId>,
+    engine_by_key: HashMap<EngineKey, EngineId>,
+    /// The listed engines with the second of their start.
+    listed: BTreeMap<EngineKey, u32>,
+    live_gateways: usize,
+    /// A number of live gateways that the broker's queue had no room for yet.
+    unsent_live_gateways: Option<f64>,
+    log: Logger,
+}
+
+/// Returns once this process shuts down.
+async fn wait_for_shutdown(closing: &mut watch::Receiver<bool>) {
+    let _ = closing.wait_for(|closing| *closing).await;
+}
+
+impl GossipTask {
+    /// A task that has heard of nobody yet.
+    pub fn new(group: GossipGroup, context: GossipContext, log: Logger) -> Self {
+        let started_ms = unix_ms();
+        let count = group.addresses.len();
+        let setup = NodeSetup {
+            me: group.me,
+            count,
+            max_bytes_per_second: group.max_bytes_per_second,
+            keys: group.keys.clone(),
+            heartbeats: group.heartbeats,
+            seed: context.seed,
+        };
+        let peers = group.addresses.iter().enumerate();
+        let peer_by_address = peers.map(|(number, address)| (*address, number as PeerId)).collect();
+        Self {
+            group,
+            context,
+            node: GossipNode::new(setup, started_ms),
+            started_ms,
+            started_at: Instant::now(),
+            peer_by_address,
+            engine_by_key: HashMap::new(),
+            listed: BTreeMap::new(),
+            live_gateways: count,
+            unsent_live_gateways: None,
+            log,
+        }
+    }
+
+    fn now_ms(&self) -> Millis {
+        self.started_ms + self.started_at.elapsed().as_millis() as Millis
+    }
+
+    fn instant(&self, at_ms: Millis) -> Instant {
+        self.started_at + Duration::from_millis(at_ms.saturating_sub(self.started_ms))
+    }
+
+    /// Runs until this process shuts down.
+    pub async fn run(mut self) {
+        let Some(socket) = self.open_socket().await else { return };
+        let listen = socket.local_addr().unwrap_or(self.group.listen);
+        info!(self.log, "knows others"; "listen" => %listen, "me" => self.group.me,
+            "count" => self.group.addresses.len(), "keys" => self.group.describe_signing());
+        let (mut actions, mut buffer) = (Vec::new(), [0; MAX_DATAGRAM_BYTES + 1]);
+        let mut next_check = Instant::now();
+        loop {
+            if Instant::now() >= next_check {
+                next_check = Instant::now() + ENDPOINT_CHECK_INTERVAL;
+                self.update_endpoints();
+                self.take_observations();
+                self.update_metrics();
+            }
+            let node_due =
+                self.node.next_due().min(self.now_ms() + ENDPOINT_CHECK_INTERVAL.as_millis() as Millis);
+            let due = self.instant(node_due).min(next_check);
+            tokio::select! {
+                readable = socket.readable() => if readable.is_ok() { self.read(&socket, &mut buffer) },
+                report = self.context.outliers.recv() => match report {
+                    Some(report) => self.on_outlier(report),
+                    None => return,
+                },
+                changed = self.context.sources.changed() => match changed {
+                    Ok(()) => self.reload_keys(),
+                    Err(_) => return,
+                },
+                () = wait_for_shutdown(&mut self.context.closing) => return,
+                () = sleep_until(due) => {}
+            }
+            self.node.act(self.now_ms(), &mut actions);
+            for action in actions.drain(..) {
+                self.apply_action(action, &socket);
+            }
+        }
+    }
+
+    /// Opens the socket; another process of this gateway may still have the address for a while.
+    async fn open_socket(&mut self) -> Option<UdpSocket> {
+        let mut is_logged = false;
+        loop {
+            let error = match UdpSocket::bind(self.group.listen).await {
+                Ok(socket) => return Some(socket),
+                Err(error) => error,
+            };
+            if !std::mem::replace(&mut is_logged, true) {
+                let is_taken = error.kind() == ErrorKind::AddrInUse;
+                let what = if is_taken { "another has the address, waits for it" } else { "no socket" };
+                warn!(self.log, "{}", what; "listen" => %self.group.listen, "error" => %error);
+            }
+            tokio::select! {
+                () = wait_for_shutdown(&mut self.context.closing) => return None,
+                () = sleep_until(Instant::now() + BIND_RETRY_INTERVAL) => {}
+            }
+        }
+    }
+
+    fn read(&mut self, socket: &UdpSocket, buffer: &mut [u8]) {
+        let now = self.now_ms();
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+            // An error answers a datagram of ours that reached nobody; there is nothing to do about it.
+            let Ok((size, from)) = socket.try_recv_from(buffer) else { return };
+            let peer = self.peer_by_address.get(&from).copied();
+            if let Err(reason) = self.node.on_datagram(peer, &buffer[..size], now) {
+                debug!(self.log, "not taken"; "from" => %from, "why" => ?reason);
+            }
+        }
+    }
+
+    fn on_outlier(&mut self, report: OutlierReport) {
+        let now = self.now_ms();
+        let found = self.engine_by_key.iter().find(|(_, engine)| **engine == report.engine);
+        let Some((&key, _)) = found else { return };
+        let kind = match report.kind {
+            OutlierKind::Failing => FactKind::Failing,
+            OutlierKind::Unresponsive => FactKind::Silent,
+            OutlierKind::AttemptFailed => FactKind::AttemptFailed,
+        };
+        let lasts = report.until.saturating_duration_since(Instant::now());
+        self.node.report_outlier(key, kind, now + lasts.as_millis() as Millis, now);
+    }
+
+    /// Reads which engines there are.
+    fn update_endpoints(&mut self) {
+        let (mut engine_by_key, mut listed) = (HashMap::new(), BTreeMap::new());
+        self.context.registry.for_each_engine(|name, engine, started| {
+            let key = EngineKey::from(name);
+            engine_by_key.insert(key, engine);
+            listed.insert(key, started.map_or(0, |time| (time.0 / 1_000_000) as u32));
+        });
+        self.engine_by_key = engine_by_key;
+        if self.listed != listed {
+            self.node.set_engines(&listed, self.now_ms());
+            self.listed = listed;
+        }
+    }
+
+    /// Takes what this gateway observes of engines, where that is new.
+    fn take_observations(&mut self) {
+        if !self.context.observations.has_changed().unwrap_or(false) {
+            return;
+        }
+        let key_by_engine: HashMap<_, _> = self.engine_by_key.iter().map(|(key, id)| (*id, *key)).collect();
+        let mut observed = Vec::new();
+        for observation in self.context.observations.borrow_and_update().iter() {
+            if let Some(&engine) = key_by_engine.get(&observation.engine) {
+                let EngineObservation { slowdown, threads, .. } = *observation;
+                observed.push(OwnObservation { engine, slowdown, threads });
+            }
+        }
+        self.node.set_observations(&observed, self.now_ms());
+    }
+
+    /// Reads the keys again; where one can't be used, the old ones stay.
+    fn reload_keys(&mut self) {
+        match read_keys(&self.group.key_files) {
+            Ok(keys) => self.node.set_keys(keys),
+            Err(error) => error!(self.log, "keys not taken, the old ones stay"; "error" => %error),
+        }
+    }
+
+    fn apply_action(&mut self, action: GossipAction, socket: &UdpSocket) {
+        match action {
+            GossipAction::Send(to, bytes) => {
+                // What can't be sent now is lost, as any datagram may be.
+                if let Some(address) = self.group.addresses.get(usize::from(to)) {
+                    let _ = socket.try_send_to(&bytes, *address);
+                }
+            }
+            GossipAction::Ejected(ejection) => self.on_ejection(ejection),
+            GossipAction::Observed(observation) => self.on_observation(observation),
+            GossipAction::LiveGateways(count) => self.unsent_live_gateways = Some(count),
+        }
+        if let Some(count) = self.unsent_live_gateways
+            && self.context.events.try_send(BrokerEvent::LiveGateways(count)).is_ok()
+        {
+            self.unsent_live_gateways = None;
+            debug!(self.log, "reckons with"; "front ends" => count);
+        }
+    }
+
+    fn on_ejection(&mut self, ejection: GossipEjection) {
+        let Some(&engine) = self.engine_by_key.get(&ejection.engine) else { return };
+        let lasts_ms = ejection.until - self.now_ms();
+        info!(self.log, "others say"; "engine" => engine.0, "left alone ms" => lasts_ms);
+        let until = self.instant(ejection.until);
+        let _ = self.context.events.try_send(BrokerEvent::EjectedByGossip { engine, until });
+    }
+
+    fn on_observation(&mut self, observation: SharedObservation) {
+        let (SharedObservation::Restarted(key, _) | SharedObservation::Slow(key, _)) = observation;
+        let Some(&engine) = self.engine_by_key.get(&key) else { return };
+        let event = match observation {
+            SharedObservation::Restarted(_, second) => {
+                info!(self.log, "others know it anew"; "engine" => engine.0, "started" => second);
+                let started = Time(u64::from(second) * 1_000_000);
+                BrokerEvent::EngineRestarted { engine, started }
+            }
+            SharedObservation::Slow(_, slowdown) => BrokerEvent::SlowdownObserved { engine, slowdown },
+        };
+        // Where the broker's queue has no room, those who go on observing it say it again.
+        let _ = self.context.events.try_send(event);
+    }
+
+    fn update_metrics(&mut self) {
+        let now = self.now_ms();
+        let (counters, live_gateways) = (self.node.counters(), self.node.live_count(now));
+        let threads: f64 =
+            self.listed.keys().filter_map(|engine| self.node.threads_in_use(*engine, now)).sum();
+        if live_gateways != self.live_gateways {
+            info!(self.log, "front ends living"; "now" => live_gateways, "before" => self.live_gateways);
+            self.live_gateways = live_gateways;
+        }
+        self.context.metrics.set_gossip(vec![
+            Metric::gauge("living", live_gateways as u64),
+            Metric::counter("sent", counters.sent),
+            Metric::counter("sent_bytes", counters.bytes),
+            Metric::counter("held_back", counters.rate_limited_sends),
+            Metric::counter("taken", counters.accepted),
+            Metric::counter("stranger", counters.unknown_sender),
+            Metric::counter("flood", counters.rate_limited),
+            Metric::counter("forged", counters.bad_signature),
+            Metric::counter("garbled", counters.malformed),
+            Metric::counter("stale", counters.stale),
+            Metric::counter("found", counters.own_reports),
+            Metric::counter("kept_back", counters.suppressed_reports),
+            Metric::counter("believed", counters.ejections),
+            Metric::gauge("engines_aside", self.node.ejected_count(now) as u64),
+            Metric::counter("views", counters.shared_observations),
+            Metric::gauge("threads_told", threads.round() as u64),
+        ]);
+    }
+}
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,5 +1,6 @@
-//! The front end: a broker between clients and a pool of engines. `broker` is the core that knows no wire;
-//! beside it stand the fronts, the engine links, the names and what starts and ends the program.
+//! The gateway: a broker between clients and a pool of engines. `broker` is its core and knows no protocol; `message` has
+//! the types that it exchanges with the other modules: the fronts for clients, the transports to engines, the discovery of
+//! endpoints, the modules that own other state, and `serve`, which starts and ends the process. ARCHITECTURE.md has the map.
 
 pub mod broker;
 pub mod cli;
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The real front end.
+//! The program `reedwalk`.
 
 use std::process::ExitCode;
 
--- a/gateway/src/message/attempt.rs
+++ b/gateway/src/message/attempt.rs
@@ -47,7 +47,7 @@
     /// The outcome.
     pub outcome: Outcome,
     /// What the query cost, if the engine reports it.
-    pub bill: Option<ResourceUsage>,
+    pub usage: Option<ResourceUsage>,
     /// The engine's load, if it reports it.
     pub load: Option<LoadReport>,
     /// The result, where it was served.
@@ -56,7 +56,7 @@
 
 impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, bill: None, load: None, rows: None }
+        Self { outcome, usage: None, load: None, rows: None }
     }
 }
 
--- a/gateway/src/message/event.rs
+++ b/gateway/src/message/event.rs
@@ -4,7 +4,7 @@
 use super::quota::QuotaDecision;
 use super::request::{Request, ResponseHandle};
 use reedwalk_scheduler::{EngineId, EngineObservation, RequestId, Time};
-use reedwalk_store::keyed::{Claimed, Sent};
+use reedwalk_shared_store::idempotency::{ClaimReply, SendRecord};
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimAnswer {
     /// What the store found and did.
-    pub claimed: Claimed,
+    pub claimed: ClaimReply,
     /// The store is known to have lost nothing, so that its word that nothing was sent may be believed.
     pub trusted: bool,
 }
@@ -57,7 +57,7 @@
         /// Which attempt.
         attempt: AttemptId,
         /// What was to be recorded.
-        sent: Sent,
+        sent: SendRecord,
         /// Whether it was; `None` if there was no answer in time.
         recorded: Option<bool>,
     },
--- a/gateway/src/message/persisted_event.rs
+++ b/gateway/src/message/persisted_event.rs
@@ -1,13 +1,13 @@
 //! What the broker writes to the snapshot folder, by way of the persistence thread.
 
-use reedwalk_recovery::memory::KeyMemory;
+use reedwalk_recovery::snapshot::KeyRecord;
 use reedwalk_scheduler::{ClassLatencyStats, EngineObservation};
 
 /// A change to be persisted.
 #[derive(Clone, Debug)]
 pub enum PersistedEvent {
     /// A request with an idempotency key is being sent.
-    IdempotencyKey(KeyMemory),
+    IdempotencyKey(KeyRecord),
     /// Everything learned so far, for a new snapshot.
     Snapshot {
         /// Latency statistics of the classes, in the order of the settings.
@@ -15,6 +15,6 @@
         /// What was observed of each engine.
         engines: Vec<EngineObservation>,
         /// All idempotency keys inside their windows.
-        keys: Vec<KeyMemory>,
+        keys: Vec<KeyRecord>,
     },
 }
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -1,23 +1,23 @@
-//! What the front end reports of itself: atomics, written where a thing is known and read without waiting for
-//! anybody. Counts start at 0 with the process.
+//! The metrics of a gateway: atomics, written where something is known and read without waiting for anybody. Counters
+//! start at 0 with the process. The names in the console's text are part of the protocol.
 
 use crate::message::Response;
 use reedwalk_scheduler::ClassId;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// With the whole result.
     Completed,
-    /// Refused; a further try is harmless.
+    /// Rejected; the client may retry.
     Rejected,
     /// Failed.
     Failed,
-    /// Its client had left; it stands under no count.
-    Left,
+    /// Its client had disconnected; it counts as none of the others.
+    Disconnected,
 }
 
 impl From<&Response> for RequestOutcome {
@@ -31,52 +31,94 @@
 }
 
 #[derive(Debug, Default)]
-struct Class {
+struct ClassCounters {
     name: String,
     completed: AtomicU64,
     rejected: AtomicU64,
     failed: AtomicU64,
 }
 
-/// Names, values, and whether each is a count or what stands now.
-pub type Lines = Vec<(&'static str, u64, char)>;
+/// Whether a metric counts since the start of the process, or tells a present value.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum MetricKind {
+    Counter,
+    Gauge,
+}
+
+impl MetricKind {
+    /// Its letter in the console's text.
+    fn letter(self) -> char {
+        match self {
+            Self::Counter => 'c',
+            Self::Gauge => 'g',
+        }
+    }
+}
+
+/// A metric of one subsystem.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Metric {
+    name: &'static str,
+    value: u64,
+    kind: MetricKind,
+}
+
+impl Metric {
+    /// A count since the start of the process.
+    pub fn counter(name: &'static str, value: u64) -> Self {
+        Self { name, value, kind: MetricKind::Counter }
+    }
+
+    /// A present value.
+    pub fn gauge(name: &'static str, value: u64) -> Self {
+        Self { name, value, kind: MetricKind::Gauge }
+    }
+
+    /// Writes the metric as a line of the console's text.
+    fn write(&self, text: &mut String, subsystem: &str) {
+        let Self { name, value, kind } = self;
+        let _ = writeln!(text, "svc.{subsystem}_{name}:{value}|{}", kind.letter());
+    }
+}
 
 /// All metrics.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    classes: Vec<Class>,
-    taken: AtomicU64,
+    classes: Vec<ClassCounters>,
+    started: AtomicU64,
     ended: AtomicU64,
     upstream: AtomicU64,
     members: AtomicU64,
     unavailable: AtomicU64,
-    /// What is told of other front ends; nothing where this one knows of none.
-    peers: Mutex<Lines>,
-    /// What is told of a kept memory, and of the way back into service; nothing where none is kept.
-    state: Mutex<[Lines; 2]>,
+    /// Of gossip; empty where there is none.
+    gossip: Mutex<Vec<Metric>>,
+    /// Of persistence; empty where nothing is persisted.
+    persistence: Mutex<Vec<Metric>>,
+    /// Of recovery; empty where nothing is persisted.
+    recovery: Mutex<Vec<Metric>>,
 }
 
-/// A request that was taken. Its end is counted once; dropped without one, its client has left.
+/// A request that has started. Its end is counted once; dropped without one, its client has disconnected.
 #[derive(Debug)]
-#[must_use = "dropped, it counts as a client that has left"]
+#[must_use = "dropped, it counts as a client that has disconnected"]
 pub struct CountedRequest {
     metrics: Arc<Metrics>,
     class: ClassId,
-    over: bool,
+    has_ended: bool,
 }
 
 impl CountedRequest {
-    /// Counts how it ended. Only the first end counts.
-    pub fn end(&mut self, ending: RequestOutcome) {
-        if std::mem::replace(&mut self.over, true) {
+    /// Counts how it ended. Only the first call counts.
+    pub fn end(&mut self, outcome: RequestOutcome) {
+        if std::mem::replace(&mut self.has_ended, true) {
             return;
         }
         if let Some(class) = self.metrics.classes.get(self.class.0) {
-            match ending {
+            match outcome {
                 RequestOutcome::Completed => class.completed.fetch_add(1, Ordering::Relaxed),
                 RequestOutcome::Rejected => class.rejected.fetch_add(1, Ordering::Relaxed),
                 RequestOutcome::Failed => class.failed.fetch_add(1, Ordering::Relaxed),
-                RequestOutcome::Left => 0,
+                RequestOutcome::Disconnected => 0,
             };
         }
         self.metrics.ended.fetch_add(1, Ordering::Relaxed);
@@ -85,86 +127,90 @@
 
 impl Drop for CountedRequest {
     fn drop(&mut self) {
-        self.end(RequestOutcome::Left);
+        self.end(RequestOutcome::Disconnected);
     }
 }
 
+fn lock(metrics: &Mutex<Vec<Metric>>) -> MutexGuard<'_, Vec<Metric>> {
+    metrics.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
 impl Metrics {
     /// All at 0, for these classes.
     pub fn new(classes: &[String]) -> Self {
-        let class = |name: &String| Class { name: name.clone(), ..Class::default() };
+        let class = |name: &String| ClassCounters { name: name.clone(), ..ClassCounters::default() };
         Self { classes: classes.iter().map(class).collect(), ..Self::default() }
     }
 
-    /// A request was taken.
-    pub fn take(self: &Arc<Self>, class: ClassId) -> CountedRequest {
-        self.taken.fetch_add(1, Ordering::Relaxed);
-        CountedRequest { metrics: self.clone(), class, over: false }
+    /// Counts a request that starts.
+    pub fn start_request(self: &Arc<Self>, class: ClassId) -> CountedRequest {
+        self.started.fetch_add(1, Ordering::Relaxed);
+        CountedRequest { metrics: self.clone(), class, has_ended: false }
     }
 
-    /// The last byte of an attempt was written.
-    pub fn upstream(&self) {
+    /// Counts an attempt whose last byte was written to its engine.
+    pub fn count_upstream_request(&self) {
         self.upstream.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Engines on the list.
+    /// Sets the number of listed engines.
     pub fn set_members(&self, members: usize) {
         self.members.store(members as u64, Ordering::Relaxed);
     }
 
-    /// Engines on the list that nothing is sent to now.
+    /// Sets the number of listed engines that nothing is sent to now.
     pub fn set_unavailable(&self, unavailable: usize) {
         self.unavailable.store(unavailable as u64, Ordering::Relaxed);
     }
 
-    /// What other front ends have to do with this one: names, values, and whether each is a count or what stands now.
-    pub fn set_peers(&self, metrics: Lines) {
-        *self.peers.lock().unwrap_or_else(PoisonError::into_inner) = metrics;
+    /// Sets the metrics of gossip.
+    pub fn set_gossip(&self, metrics: Vec<Metric>) {
+        *lock(&self.gossip) = metrics;
     }
 
-    /// What was written of the memory that is kept.
-    pub fn set_state(&self, metrics: Lines) {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)[0] = metrics;
+    /// Sets the metrics of persistence.
+    pub fn set_persistence(&self, metrics: Vec<Metric>) {
+        *lock(&self.persistence) = metrics;
     }
 
-    /// How far this front end is on its way back into service.
-    pub fn set_return(&self, metrics: Lines) {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)[1] = metrics;
+    /// Sets the metrics of recovery.
+    pub fn set_recovery(&self, metrics: Vec<Metric>) {
+        *lock(&self.recovery) = metrics;
     }
 
-    /// Requests taken but not yet ended.
+    /// Number of requests that have started and not yet ended.
     pub fn pending(&self) -> u64 {
-        // The ended first: what ends in between would make it too low, down to below nothing.
+        // The ended first: what ends between the two reads would make the number too low, even negative.
         let ended = self.ended.load(Ordering::Acquire);
-        self.taken.load(Ordering::Acquire).saturating_sub(ended)
+        self.started.load(Ordering::Acquire).saturating_sub(ended)
     }
 
-    /// A line for each figure: `svc.NAME:VALUE|c` for counts, `|g` for what stands now.
+    /// A line for each metric: `svc.NAME:VALUE|c` for counters, `|g` for gauges.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let read = |value: &AtomicU64| value.load(Ordering::Relaxed);
         for class in &self.classes {
-            for (what, value) in
-                [("completed", &class.completed), ("rejected", &class.rejected), ("failed", &class.failed)]
-            {
-                let _ = writeln!(text, "svc.{what}.{}:{}|c", class.name, read(value));
+            let counters =
+                [("completed", &class.completed), ("rejected", &class.rejected), ("failed", &class.failed)];
+            for (name, value) in counters {
+                let _ = writeln!(text, "svc.{name}.{}:{}|c", class.name, read(value));
             }
         }
         let _ = writeln!(text, "svc.upstream_requests:{}|c", read(&self.upstream));
-        let stands = [
+        let gauges = [
             ("pending", self.pending()),
             ("members", read(&self.members)),
             ("members_unavailable", read(&self.unavailable)),
         ];
-        for (what, value) in stands {
-            let _ = writeln!(text, "svc.{what}:{value}|g");
+        for (name, value) in gauges {
+            let _ = writeln!(text, "svc.{name}:{value}|g");
         }
-        for (what, value, kind) in self.peers.lock().unwrap_or_else(PoisonError::into_inner).iter() {
-            let _ = writeln!(text, "svc.peers_{what}:{value}|{kind}");
-        }
-        for (what, value, kind) in self.state.lock().unwrap_or_else(PoisonError::into_inner).iter().flatten()
+        for (subsystem, metrics) in
+            [("peers", &self.gossip), ("state", &self.persistence), ("state", &self.recovery)]
         {
-            let _ = writeln!(text, "svc.state_{what}:{value}|{kind}");
+            for metric in lock(metrics).iter() {
+                metric.write(&mut text, subsystem);
+            }
         }
         text
     }
--- a/gateway/src/metrics/tests.rs
+++ b/gateway/src/metrics/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn every_end_is_counted_once_and_nothing_stays_pending() {
     let metrics = Arc::new(Metrics::new(&["lookup".to_owned(), "batch-post".to_owned()]));
-    let mut taken: Vec<_> = (0..6).map(|n| metrics.take(ClassId(n % 2))).collect();
+    let mut taken: Vec<_> = (0..6).map(|n| metrics.start_request(ClassId(n % 2))).collect();
     assert_eq!(metrics.pending(), 6);
     taken[0].end(RequestOutcome::Completed);
     taken[0].end(RequestOutcome::Failed);
@@ -13,7 +13,7 @@
     assert_eq!(metrics.pending(), 2);
     drop(taken);
     assert_eq!(metrics.pending(), 0);
-    metrics.upstream();
+    metrics.count_upstream_request();
     metrics.set_members(7);
     metrics.set_unavailable(2);
     let lines = "svc.completed.lookup:1|c\nsvc.rejected.lookup:0|c\nsvc.failed.lookup:1|c\n\
--- a/gateway/src/multicore.rs
+++ b/gateway/src/multicore.rs
@@ -1,7 +1,7 @@
 //! The runtimes that a gateway runs on. Each core is a thread with a runtime of its own; core 0 runs the broker, and
 //! connections live on whichever core `reedwalk-cores` places them. With one core all of it is the caller's runtime.
 
-use reedwalk_cores::{Change, Held, Ledger, Watch, shares};
+use reedwalk_multicore::{Change, ConnectionLoad, LoadTable, StallDetector, shares};
 use slog::{Logger, error, info, warn};
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 struct Inner {
     cores: Vec<Core>,
-    ledger: Ledger,
+    load_table: LoadTable,
     epoch: Instant,
 }
 
@@ -59,19 +59,23 @@
 /// The core that a connection was placed on, until the last copy of this is dropped.
 #[derive(Clone, Debug)]
 pub struct ConnectionSlot {
-    held: Option<Arc<Held>>,
+    load: Option<Arc<ConnectionLoad>>,
     handle: Option<Handle>,
 }
 
 impl ConnectionSlot {
     /// On the runtime that this is used on.
-    const CURRENT: Self = Self { held: None, handle: None };
+    const CURRENT: Self = Self { load: None, handle: None };
 }
 
 impl Multicore {
     /// Everything on the runtime that this is used on.
     pub fn single() -> Self {
-        Self(Arc::new(Inner { cores: Vec::new(), ledger: Ledger::new(shares(1)), epoch: Instant::now() }))
+        Self(Arc::new(Inner {
+            cores: Vec::new(),
+            load_table: LoadTable::new(shares(1)),
+            epoch: Instant::now(),
+        }))
     }
 
     /// So many cores; up to one is [`Multicore::single`].
@@ -84,7 +88,7 @@
         }
         let epoch = Instant::now();
         let cores = (0..count).map(|number| start_core(number, epoch)).collect::<Result<_, _>>()?;
-        Ok(Self(Arc::new(Inner { cores, ledger: Ledger::new(shares(count)), epoch })))
+        Ok(Self(Arc::new(Inner { cores, load_table: LoadTable::new(shares(count)), epoch })))
     }
 
     /// Whether there are several cores.
@@ -108,28 +112,28 @@
         if !self.is_multicore() {
             return ConnectionSlot::CURRENT;
         }
-        let ledger = &self.0.ledger;
+        let load_table = &self.0.load_table;
         loop {
-            let held = ledger.place();
+            let held = load_table.place();
             let number = held.core();
             let Some(core) = self.0.cores.get(number) else { return ConnectionSlot::CURRENT };
             // A core that has ended since the last check is passed over, unless there is no other.
-            if core.heartbeat.ended.load(Ordering::Acquire) && ledger.fit(number) {
-                ledger.judge(number, false);
+            if core.heartbeat.ended.load(Ordering::Acquire) && load_table.is_accepting(number) {
+                load_table.set_accepting(number, false);
                 continue;
             }
-            return ConnectionSlot { handle: Some(core.handle.clone()), held: Some(Arc::new(held)) };
+            return ConnectionSlot { handle: Some(core.handle.clone()), load: Some(Arc::new(held)) };
         }
     }
 
     /// Number of connections on each core.
     pub fn connections_per_core(&self) -> Vec<usize> {
-        (0..self.0.cores.len()).map(|core| self.0.ledger.held(core)).collect()
+        (0..self.0.cores.len()).map(|core| self.0.load_table.connections(core)).collect()
     }
 
     /// Whether a core gets new connections: not while it has stalled, nor once it has ended.
     pub fn takes_connections(&self, core: usize) -> bool {
-        self.0.ledger.fit(core)
+        self.0.load_table.is_accepting(core)
     }
 
     /// Ends a core: what runs there is dropped, and its connections close. The others go on.
@@ -157,7 +161,7 @@
     /// number of each whose thread has ended.
     pub async fn watch(self, lost: mpsc::Sender<usize>, log: Logger) {
         let inner = &*self.0;
-        let mut watch = Watch::new(inner.cores.len(), STALL_TIMEOUT.as_micros() as u64);
+        let mut watch = StallDetector::new(inner.cores.len(), STALL_TIMEOUT.as_micros() as u64);
         let mut next_check = Instant::now();
         while self.is_multicore() {
             tokio::select! {
@@ -170,7 +174,7 @@
                 let Heartbeat { at, ended } = &*core.heartbeat;
                 (at.load(Ordering::Relaxed), ended.load(Ordering::Acquire))
             };
-            for change in watch.look(now, inner.cores.iter().map(heartbeat)) {
+            for change in watch.check(now, inner.cores.iter().map(heartbeat)) {
                 if let Some(ended) = self.on_change(change, &log)
                     && lost.send(ended).await.is_err()
                 {
@@ -185,17 +189,17 @@
         match change {
             Change::Stalled(core, since) => {
                 warn!(log, "core stands still"; "core" => core, "for ms" => since / 1000);
-                self.0.ledger.judge(core, false);
+                self.0.load_table.set_accepting(core, false);
                 None
             }
-            Change::Back(core, after) => {
+            Change::Recovered(core, after) => {
                 info!(log, "core goes on"; "core" => core, "after ms" => after / 1000);
-                self.0.ledger.judge(core, true);
+                self.0.load_table.set_accepting(core, true);
                 None
             }
-            Change::Lost(core) => {
+            Change::Ended(core) => {
                 error!(log, "core has ended"; "core" => core);
-                self.0.ledger.judge(core, false);
+                self.0.load_table.set_accepting(core, false);
                 Some(core)
             }
         }
@@ -205,7 +209,7 @@
 impl ConnectionSlot {
     /// Starts a task on this core; the place is held until the task has ended.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) -> AbortHandle {
-        let held = self.held.clone();
+        let held = self.load.clone();
         let task = async move {
             task.await;
             drop(held);
--- a/gateway/src/operator/mod.rs
+++ b/gateway/src/operator/mod.rs
@@ -1,5 +1,5 @@
-//! An operator's file: what the platform does not know of and leaves off. A KDL document; what it does not know is
-//! an error that names the line.
+//! The operator's configuration file, a KDL document: features that the platform's configuration does not know, and that
+//! are off without it. An unknown setting is an error that names its line.
 
 pub mod error;
 mod read;
@@ -19,30 +19,30 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The wire on which the engines are reached.
+/// The protocol on which the engines are reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EngineWire {
-    /// The platform's.
+    /// RESP, the platform's.
     #[default]
     Resp,
     /// Arrow Flight SQL.
     FlightSql,
 }
 
-/// Where budgets are counted.
+/// Where the budgets of teams are counted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Store {
-    /// In each front end, which grants its even share.
+    /// In each gateway, which grants its even share.
     #[default]
     Memory,
-    /// In a Redis at this URL, shared by all front ends on these terms.
+    /// In a Redis at this URL, shared by all gateways.
     Redis(String, SharedStoreOptions),
 }
 
-/// Connections of the Flight SQL front where nothing is said.
-pub const FLIGHT_CONNECTIONS: usize = 64;
-/// Bytes of a Flight statement and what stands around it, where nothing is said.
-pub const FLIGHT_MESSAGE: usize = 256 * 1024;
+/// Connections of the Flight SQL front by default.
+pub const DEFAULT_FLIGHT_CONNECTIONS: usize = 64;
+/// Bytes of a message of the Flight SQL front by default.
+pub const DEFAULT_FLIGHT_MESSAGE_BYTES: usize = 256 * 1024;
 
 /// The Flight SQL front.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -50,29 +50,29 @@
     /// Where its clients connect.
     pub listen: SocketAddr,
     /// Connections at most.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Bytes of one message at most.
-    pub message_most: usize,
+    pub max_message_bytes: usize,
 }
 
-/// All that an operator may turn on.
+/// All features that the file can turn on.
 #[derive(Clone, Debug, Default)]
 pub struct Operator {
-    /// Cores that the front end uses; 0 and 1 are the usual one.
+    /// Cores that the gateway uses; 0 and 1 both mean one.
     pub cores: usize,
-    /// The line that says so.
+    /// The line of that setting.
     pub cores_line: usize,
     /// The second front; off without it.
     pub flight: Option<FlightFront>,
     /// How the engines are reached.
     pub engines: EngineWire,
-    /// QuotaManager of the teams; with none nothing is checked.
+    /// Contracts of the teams; without any, nothing is checked.
     pub contracts: Option<Vec<Contract>>,
     /// Where budgets are counted.
     pub store: Store,
-    /// How front ends know each other; they don't without it.
+    /// How gateways gossip; off without it.
     pub peers: Option<GossipOptions>,
-    /// Where a memory is kept for the next process; none is without it.
+    /// Where state is persisted for the next process; off without it.
     pub state: Option<PersistenceOptions>,
 }
 
@@ -80,7 +80,7 @@
     /// Checks what the limits of the process allow.
     ///
     /// # Errors
-    /// Names the line that asks for more.
+    /// Names the line that exceeds them.
     pub fn check(&self, limits: &Limits) -> Result<(), OperatorFileError> {
         let needed = self.cores * MIN_DESCRIPTORS_PER_CORE;
         if self.cores <= 1 || needed <= limits.sockets {
@@ -92,10 +92,10 @@
     }
 }
 
-/// Reads an operator's file.
+/// Reads the operator's file.
 ///
 /// # Errors
-/// Says what is wrong with it.
+/// What is wrong with it, and where.
 pub fn read_file(path: &Path) -> Result<Operator, ConfigError> {
     let text = std::fs::read_to_string(path).map_err(|error| ConfigError::Unreadable(path.into(), error))?;
     read(&text).map_err(|error| ConfigError::Operator(path.into(), error))
--- a/gateway/src/operator/read.rs
+++ b/gateway/src/operator/read.rs
@@ -1,21 +1,26 @@
-//! Reads an operator's file. Every error names the line and what was expected there.
+//! Reads the operator's file. Every error names the line and what was expected there.
 
 use super::error::OperatorFileError;
-use super::{EngineWire, FLIGHT_CONNECTIONS, FLIGHT_MESSAGE, FlightFront, Operator, Store, units};
-use crate::gossip::{BYTES_MOST, GossipOptions};
+use super::{
+    DEFAULT_FLIGHT_CONNECTIONS, DEFAULT_FLIGHT_MESSAGE_BYTES, EngineWire, FlightFront, Operator, Store, units,
+};
+use crate::gossip::{DEFAULT_MAX_BYTES_PER_SECOND, GossipMember, GossipOptions, KeyFile};
 use crate::persistence::PersistenceOptions;
 use crate::quotas::Contract;
 use crate::shared_store::SharedStoreOptions;
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
-use reedwalk_cores::CORES_MOST;
+use reedwalk_multicore::MAX_CORES;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The text, to find lines in.
-struct Text<'a>(&'a str);
+/// Signing keys at most: while they are changed, the old and the new one.
+const MAX_KEYS: usize = 2;
 
-impl Text<'_> {
+/// The text of the file, in which the line of a node is found.
+struct SourceText<'a>(&'a str);
+
+impl SourceText<'_> {
     fn error(&self, offset: usize, what: impl Into<String>) -> OperatorFileError {
         let before = &self.0.as_bytes()[..offset.min(self.0.len())];
         OperatorFileError { line: 1 + before.iter().filter(|b| **b == b'\n').count(), what: what.into() }
@@ -99,7 +104,8 @@
         if !node.entries().is_empty() {
             return Err(self.at(node, "'flight' takes a block in braces and nothing else"));
         }
-        let (mut listen, mut connections, mut message) = (None, FLIGHT_CONNECTIONS, FLIGHT_MESSAGE);
+        let (mut listen, mut connections, mut message) =
+            (None, DEFAULT_FLIGHT_CONNECTIONS, DEFAULT_FLIGHT_MESSAGE_BYTES);
         for node in self.nodes(self.block(node)?, &["listen", "connections", "message-most"], &[])? {
             match node.name().value() {
                 "listen" => listen = Some(self.address(node)?),
@@ -113,7 +119,8 @@
                 }
             }
         }
-        Ok(FlightFront { listen: self.need(node, listen, "listen")?, connections, message_most: message })
+        let listen = self.need(node, listen, "listen")?;
+        Ok(FlightFront { listen, max_connections: connections, max_message_bytes: message })
     }
 
     fn contract(&self, node: &KdlNode) -> Result<Contract, OperatorFileError> {
@@ -165,8 +172,8 @@
             [entry] => match (entry.name().map(|n| n.value()), entry.value(), node.children()) {
                 (None, KdlValue::String(kind), None) if kind == "memory" => Ok(Store::Memory),
                 (Some("redis"), KdlValue::String(url), block) => {
-                    let terms = block.map(|b| self.terms(b)).transpose()?;
-                    Ok(Store::Redis(url.clone(), terms.unwrap_or_default()))
+                    let options = block.map(|block| self.store_options(block)).transpose()?;
+                    Ok(Store::Redis(url.clone(), options.unwrap_or_default()))
                 }
                 _ => Err(error()),
             },
@@ -174,67 +181,87 @@
         }
     }
 
-    /// How front ends know each other.
+    /// The block `peers`: the gateways that gossip with one another.
     fn peers(&self, node: &KdlNode) -> Result<GossipOptions, OperatorFileError> {
         if !node.entries().is_empty() {
             return Err(self.at(node, "'peers' takes a block in braces and nothing else"));
         }
-        let line = self.at(node, "").line;
-        let (listen, members, keys) = (None, Vec::new(), Vec::new());
-        let mut terms = GossipOptions { line, listen, members, keys, bytes_most: BYTES_MOST, beats: true };
+        let mut options = GossipOptions {
+            line: self.at(node, "").line,
+            listen: None,
+            members: Vec::new(),
+            keys: Vec::new(),
+            max_bytes_per_second: DEFAULT_MAX_BYTES_PER_SECOND,
+            heartbeats: true,
+        };
         let known = ["listen", "member", "key", "bytes-most", "beats"];
         for node in self.nodes(self.block(node)?, &known, &["member", "key"])? {
-            let line = self.at(node, "").line;
             match node.name().value() {
-                "listen" => terms.listen = Some(self.address(node)?),
+                "listen" => options.listen = Some(self.address(node)?),
                 "member" => {
-                    let expected = "a front end's name and its address, as in \"n0\" \"10.0.0.4:7946\"";
-                    let words: Option<Vec<_>> = node
-                        .entries()
-                        .iter()
-                        .map(|e| e.value().as_string().filter(|_| e.name().is_none()))
-                        .collect();
-                    let Some([name, address]) = words.as_deref() else {
-                        return Err(self.at(node, format!("'member' takes {expected}")));
-                    };
-                    let address = self.parse(node, address, expected)?;
-                    let twice = |what: &str| self.at(node, format!("a second member {what}"));
-                    if terms.members.iter().any(|m| m.0 == *name) {
-                        return Err(twice(&format!("of the name \"{name}\"")));
-                    }
-                    if terms.members.iter().any(|m| m.1 == address) {
-                        return Err(twice(&format!("at {address}")));
-                    }
-                    terms.members.push(((*name).to_owned(), address));
-                }
-                "beats" => {
-                    terms.beats = match self.text(node, "\"on\" or \"off\"")? {
-                        "on" => true,
-                        "off" => false,
-                        other => {
-                            let what = format!("'beats' is \"{other}\"; expected \"on\" or \"off\"");
-                            return Err(self.at(node, what));
-                        }
-                    };
+                    let member = self.gossip_member(node, &options.members)?;
+                    options.members.push(member);
                 }
-                "key" => terms.keys.push((self.text(node, "the name of a file")?.into(), line)),
-                _ => {
-                    let text = self.text(node, "a size such as \"8KiB\"")?;
-                    let bytes = units::size(text).ok().filter(|b| (512..=1 << 20).contains(b));
-                    let expected = "expected a size from \"512B\" to \"1MiB\", for each second";
-                    let error = || self.at(node, format!("'bytes-most' is \"{text}\"; {expected}"));
-                    terms.bytes_most = bytes.ok_or_else(error)? as u32;
+                "beats" => options.heartbeats = self.switch(node)?,
+                "key" => {
+                    let path = self.text(node, "the name of a file")?.into();
+                    options.keys.push(KeyFile { path, line: self.at(node, "").line });
                 }
+                _ => options.max_bytes_per_second = self.bytes_per_second(node)?,
             }
         }
-        if terms.keys.len() > 2 {
+        if options.keys.len() > MAX_KEYS {
             return Err(self.at(node, "at most two keys: the one that signs, and the one before or after it"));
         }
-        Ok(terms)
+        Ok(options)
+    }
+
+    /// A `member` of the block `peers`, whose name and address no other member has.
+    fn gossip_member(
+        &self,
+        node: &KdlNode,
+        others: &[GossipMember],
+    ) -> Result<GossipMember, OperatorFileError> {
+        let expected = "a front end's name and its address, as in \"n0\" \"10.0.0.4:7946\"";
+        let word = |entry: &KdlEntry| {
+            entry.value().as_string().filter(|_| entry.name().is_none()).map(str::to_owned)
+        };
+        let words: Option<Vec<_>> = node.entries().iter().map(word).collect();
+        let Some([name, address]) = words.as_deref() else {
+            return Err(self.at(node, format!("'member' takes {expected}")));
+        };
+        let address = self.parse(node, address, expected)?;
+        if others.iter().any(|other| other.name == *name) {
+            return Err(self.at(node, format!("a second member of the name \"{name}\"")));
+        }
+        if others.iter().any(|other| other.address == address) {
+            return Err(self.at(node, format!("a second member at {address}")));
+        }
+        Ok(GossipMember { name: name.clone(), address })
+    }
+
+    /// A setting that is on or off.
+    fn switch(&self, node: &KdlNode) -> Result<bool, OperatorFileError> {
+        match self.text(node, "\"on\" or \"off\"")? {
+            "on" => Ok(true),
+            "off" => Ok(false),
+            other => {
+                let name = node.name().value();
+                Err(self.at(node, format!("'{name}' is \"{other}\"; expected \"on\" or \"off\"")))
+            }
+        }
+    }
+
+    fn bytes_per_second(&self, node: &KdlNode) -> Result<u32, OperatorFileError> {
+        let text = self.text(node, "a size such as \"8KiB\"")?;
+        let bytes = units::size(text).ok().filter(|bytes| (512..=1 << 20).contains(bytes));
+        let expected = "expected a size from \"512B\" to \"1MiB\", for each second";
+        let error = || self.at(node, format!("'bytes-most' is \"{text}\"; {expected}"));
+        Ok(bytes.ok_or_else(error)? as u32)
     }
 
-    fn terms(&self, block: &KdlDocument) -> Result<SharedStoreOptions, OperatorFileError> {
-        let mut terms = SharedStoreOptions::default();
+    fn store_options(&self, block: &KdlDocument) -> Result<SharedStoreOptions, OperatorFileError> {
+        let mut options = SharedStoreOptions::default();
         for node in self.nodes(block, &["share-keys", "namespace", "clocks-differ", "wait"], &[])? {
             let span = |least: u64, most: u64| {
                 let text = self.text(node, "a duration such as \"25ms\"")?;
@@ -249,11 +276,11 @@
             };
             match node.name().value() {
                 "share-keys" if node.entries().is_empty() && node.children().is_none() => {
-                    terms.share_keys = true;
+                    options.share_keys = true;
                 }
                 "share-keys" => return Err(self.at(node, "'share-keys' takes nothing")),
-                "clocks-differ" => terms.clocks_differ = span(1, 10_000)?,
-                "wait" => terms.wait = span(1, 1_000)?,
+                "clocks-differ" => options.clocks_differ = span(1, 10_000)?,
+                "wait" => options.wait = span(1, 1_000)?,
                 _ => {
                     let name = self.text(node, "a name")?;
                     let sound = (1..=64).contains(&name.len())
@@ -262,11 +289,11 @@
                         let expected = "1 to 64 letters, digits, '-', '_' or '.'";
                         return Err(self.at(node, format!("'namespace' is \"{name}\"; expected {expected}")));
                     }
-                    terms.namespace = name.to_owned();
+                    options.namespace = name.to_owned();
                 }
             }
         }
-        Ok(terms)
+        Ok(options)
     }
 }
 
@@ -275,11 +302,11 @@
 /// # Errors
 /// The first error that was found.
 pub fn read(text: &str) -> Result<Operator, OperatorFileError> {
-    let lines = Text(text);
+    let lines = SourceText(text);
     let document = KdlDocument::parse(text).map_err(|error| {
         let first = error.diagnostics.first();
-        let said = first.and_then(|d| d.message.clone().or(d.label.clone()));
-        let what = said.unwrap_or_else(|| "not a KDL document".to_owned());
+        let message = first.and_then(|d| d.message.clone().or(d.label.clone()));
+        let what = message.unwrap_or_else(|| "not a KDL document".to_owned());
         lines.error(first.map_or(0, |d| d.span.offset()), what)
     })?;
     let mut operator = Operator::default();
@@ -287,7 +314,7 @@
     for node in lines.nodes(&document, &known, &["contract"])? {
         match node.name().value() {
             "cores" => {
-                operator.cores = lines.count(node, 1, CORES_MOST)?;
+                operator.cores = lines.count(node, 1, MAX_CORES)?;
                 operator.cores_line = lines.at(node, "").line;
             }
             "flight" => operator.flight = Some(lines.flight(node)?),
--- a/gateway/src/operator/read/tests.rs
+++ b/gateway/src/operator/read/tests.rs
@@ -13,7 +13,7 @@
     let operator = read(text).unwrap();
     assert_eq!((operator.cores, operator.engines), (4, EngineWire::FlightSql));
     let front = operator.flight.unwrap();
-    assert_eq!((front.connections, front.message_most), (FLIGHT_CONNECTIONS, 64 << 10));
+    assert_eq!((front.max_connections, front.max_message_bytes), (DEFAULT_FLIGHT_CONNECTIONS, 64 << 10));
     let contract = &operator.contracts.unwrap()[0];
     assert_eq!((contract.budget, contract.window_ms, contract.cost["statement"]), (600, 60_000, 4));
     assert_eq!(operator.store, Store::Redis("redis://127.0.0.1:6379".into(), SharedStoreOptions::default()));
--- a/gateway/src/persistence/folder.rs
+++ b/gateway/src/persistence/folder.rs
@@ -1,14 +1,14 @@
 //! A folder on the disk, for `reedwalk-recovery`, and the lock that keeps a second process out of it.
 
 use crate::lock::Locked;
-use reedwalk_recovery::keep::Files;
+use reedwalk_recovery::snapshot_store::SnapshotFiles;
 use std::fs::{File, OpenOptions};
 use std::io::{Error, Read, Write};
 use std::os::unix::fs::{DirBuilderExt, OpenOptionsExt};
 use std::path::{Path, PathBuf};
 
-/// Files looked at in a folder at most; ours are five.
-const FILES_MOST: usize = 256;
+/// Files that are looked at in a folder at most; ours are five.
+const MAX_FILES: usize = 256;
 
 /// A folder that is there.
 #[derive(Clone, Debug)]
@@ -38,11 +38,11 @@
     }
 }
 
-impl Files for Folder {
+impl SnapshotFiles for Folder {
     type Error = Error;
 
     fn names(&self) -> Result<Vec<String>, Error> {
-        let names = std::fs::read_dir(&self.0)?.take(FILES_MOST);
+        let names = std::fs::read_dir(&self.0)?.take(MAX_FILES);
         names.map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned())).collect()
     }
 
--- /dev/null
+++ b/gateway/src/persistence/restore.rs
@@ -0,0 +1,112 @@
+//! What a starting process takes over from the snapshot of the one before.
+
+use super::folder::Folder;
+use crate::config::Config;
+use crate::message::BrokerEvent;
+use crate::registry::EndpointRegistry;
+use crate::shared_store::unix_ms;
+use reedwalk_recovery::Millis;
+use reedwalk_recovery::snapshot::{EngineRecord, Snapshot};
+use reedwalk_recovery::snapshot_codec::SnapshotOwner;
+use reedwalk_recovery::snapshot_store::{RecoveredState, recover};
+use reedwalk_recovery::trust::{Confidence, Contradictions, Fact, Source, confidence};
+use reedwalk_scheduler::{ClassLatencyStats, EngineId, Idempotency, SampledMean, Time};
+use slog::{Logger, info, warn};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Files whose contents identify the host.
+const HOST_FILES: [&str; 2] = ["/etc/machine-id", "/proc/sys/kernel/hostname"];
+
+/// A number that stands for a list of texts.
+fn digest(texts: impl IntoIterator<Item = impl AsRef<[u8]>>) -> u64 {
+    // A zero after each text, so that no two lists are alike.
+    let bytes: Vec<_> = texts.into_iter().flat_map(|text| [text.as_ref(), &[0]].concat()).collect();
+    reedwalk_settings::key(&bytes).0
+}
+
+/// Whose snapshots this gateway's are. The texts behind the numbers are part of what is stored.
+pub fn owner(config: &Config) -> SnapshotOwner {
+    let host = HOST_FILES.map(|file| std::fs::read(file).unwrap_or_default());
+    // Only those settings that a snapshot rests on: an upgrade that brings more of them invalidates nothing.
+    let classes = config.deployment.sockets.classes.iter().zip(&config.deployment.core.classes);
+    let classes = classes.map(|(name, class)| match class.idempotency {
+        Idempotency::Keyed { scope, window } => format!("{name} {scope:?} {window:?}"),
+        _ => name.clone(),
+    });
+    SnapshotOwner { host: digest(host), gateway: digest([config.name.as_bytes()]), settings: digest(classes) }
+}
+
+/// Reads what the process before has persisted, and logs what was found.
+pub fn load_snapshot(folder: &Folder, owner: SnapshotOwner, log: &Logger) -> RecoveredState {
+    let found = recover(folder, owner, unix_ms());
+    for (file, reason) in &found.unused {
+        warn!(log, "not used"; "file" => file, "why" => reason);
+    }
+    let snapshot = &found.snapshot;
+    info!(log, "memory"; "generation" => ?found.generation, "engines" => snapshot.engines.len(),
+        "classes" => snapshot.classes.len(), "keys" => snapshot.keys.len(), "torn bytes" => found.torn,
+        "written ms ago" => unix_ms().saturating_sub(snapshot.written));
+    found
+}
+
+/// The classes' latency statistics of a snapshot, as far as they may still be believed; in the order of `names`.
+pub fn restored_class_stats(
+    snapshot: &Snapshot,
+    names: &[String],
+    now: Millis,
+) -> Vec<Option<ClassLatencyStats>> {
+    let contradictions = Contradictions { clock: snapshot.written > now, ..Contradictions::default() };
+    let age = now.saturating_sub(snapshot.written);
+    let prior = confidence(Fact::Latency, Source::Disk, age, 0, contradictions);
+    let Confidence::Prior(weight) = prior else { return vec![None; names.len()] };
+    let faded = |(mean, samples): (f64, f64)| SampledMean { mean, samples: samples * weight };
+    let stats = |name: &String| {
+        let class = snapshot.classes.iter().find(|class| class.name == *name)?;
+        Some(ClassLatencyStats { execution_time: faded(class.exec), work_per_thread: faded(class.width) })
+    };
+    names.iter().map(stats).collect()
+}
+
+/// What the broker is told of the engines of a snapshot, as far as they have not restarted since.
+pub fn restored_observations(
+    snapshot: &Snapshot,
+    registry: &EndpointRegistry,
+    now: Millis,
+) -> Vec<BrokerEvent> {
+    let mut events = Vec::new();
+    registry.for_each_engine(|name, engine, started| {
+        if let Some(record) = snapshot.engines.iter().find(|record| record.id == name) {
+            events.extend(restored_engine(snapshot, record, engine, started, now));
+        }
+    });
+    events
+}
+
+fn restored_engine(
+    snapshot: &Snapshot,
+    record: &EngineRecord,
+    engine: EngineId,
+    started: Option<Time>,
+    now: Millis,
+) -> Vec<BrokerEvent> {
+    let age = now.saturating_sub(snapshot.written);
+    let started_ms = started.map_or(0, |time| time.0 / 1000);
+    let contradictions = Contradictions {
+        superseded: record.started != started_ms,
+        clock: snapshot.written > now,
+        ..Contradictions::default()
+    };
+    let mut events = Vec::new();
+    let prior = confidence(Fact::Latency, Source::Disk, age, 0, contradictions);
+    if let (Confidence::Prior(weight), Some(slowdown)) = (prior, record.slowdown) {
+        let slowdown = 1.0 + (slowdown - 1.0).max(0.0) * weight;
+        events.push(BrokerEvent::SlowdownObserved { engine, slowdown });
+    }
+    let ejected_for = Duration::from_millis(record.ejected_until.saturating_sub(now));
+    let ejection = confidence(Fact::Failing, Source::Disk, age, 0, contradictions);
+    if ejection == Confidence::Protects && !ejected_for.is_zero() {
+        events.push(BrokerEvent::EjectedByGossip { engine, until: Instant::now() + ejected_for });
+    }
+    events
+}
--- /dev/null
+++ b/gateway/src/persistence/writer.rs
@@ -0,0 +1,174 @@
+//! The thread that persists. Neither a slow nor a full disk is waited for by anybody else; an event that finds no room in
+//! the queue is not persisted, which costs a retry some time and never has an effect twice.
+
+use super::folder::Folder;
+use crate::lock::Locked;
+use crate::message::PersistedEvent;
+use crate::metrics::{Metric, Metrics};
+use crate::registry::EndpointRegistry;
+use crate::shared_store::unix_ms;
+use reedwalk_recovery::snapshot::{ClassRecord, EngineRecord, KeyRecord, Snapshot};
+use reedwalk_recovery::snapshot_codec::SnapshotOwner;
+use reedwalk_recovery::snapshot_store::{SnapshotStore, SnapshotStoreError};
+use reedwalk_scheduler::{ClassLatencyStats, EngineObservation};
+use slog::{Logger, error, info, warn};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+
+/// Events that wait to be written at most.
+pub const QUEUE_CAPACITY: usize = 1024;
+/// How often the lock that another process holds is tried again.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The persistence thread.
+pub struct PersistenceThread {
+    /// Where snapshots are written.
+    pub folder: Folder,
+    /// Whose they are.
+    pub owner: SnapshotOwner,
+    /// Names of the classes.
+    pub classes: Vec<String>,
+    /// Names of the engines.
+    pub registry: EndpointRegistry,
+    /// The metrics.
+    pub metrics: Arc<Metrics>,
+    /// The log.
+    pub log: Logger,
+}
+
+#[derive(Default)]
+struct Counters {
+    snapshots: u64,
+    keys: u64,
+    errors: u64,
+    dropped: u64,
+}
+
+/// The store of a folder whose lock this process holds.
+struct LockedStore {
+    store: SnapshotStore,
+    _lock: Locked,
+}
+
+/// A class, an engine and a key list of [`PersistedEvent::Snapshot`].
+struct SnapshotParts {
+    classes: Vec<ClassLatencyStats>,
+    engines: Vec<EngineObservation>,
+    keys: Vec<KeyRecord>,
+}
+
+impl PersistenceThread {
+    /// Starts the thread; it ends with the queue's sender.
+    ///
+    /// # Errors
+    /// Where the system starts no thread.
+    pub fn start(self, events: mpsc::Receiver<PersistedEvent>) -> std::io::Result<()> {
+        let thread = std::thread::Builder::new().name("state".into());
+        thread.spawn(move || self.run(events)).map(|_| ())
+    }
+
+    fn run(mut self, mut events: mpsc::Receiver<PersistedEvent>) {
+        let mut counters = Counters::default();
+        let (mut last_write_ok, mut wait_logged) = (true, false);
+        let mut store = None;
+        let mut batch = Vec::new();
+        while let Some(first) = events.blocking_recv() {
+            batch.push(first);
+            while let Ok(more) = events.try_recv() {
+                batch.push(more);
+            }
+            if store.is_none() {
+                store = self.lock();
+            }
+            let Some(LockedStore { store, .. }) = &mut store else {
+                // The other process of a hot restart ends soon; any other was there first.
+                if !std::mem::replace(&mut wait_logged, true) {
+                    warn!(self.log, "another process writes in the folder, this one waits");
+                }
+                counters.dropped += batch.drain(..).len() as u64;
+                self.update_metrics(&counters);
+                std::thread::sleep(LOCK_RETRY_INTERVAL);
+                continue;
+            };
+            let written = self.write(store, &mut batch, &mut counters);
+            match (&written, last_write_ok) {
+                (Err(error), true) => error!(self.log, "not kept"; "why" => %error),
+                (Ok(()), false) => info!(self.log, "kept again"),
+                _ => {}
+            }
+            counters.errors += u64::from(written.is_err());
+            last_write_ok = written.is_ok();
+            self.update_metrics(&counters);
+        }
+    }
+
+    fn lock(&self) -> Option<LockedStore> {
+        let lock = self.folder.lock().ok().flatten()?;
+        info!(self.log, "keeps its memory");
+        Some(LockedStore { store: SnapshotStore::new(&self.folder, self.owner), _lock: lock })
+    }
+
+    /// Writes a batch: as a new snapshot if one is in it, else to the log of the last one.
+    fn write(
+        &mut self,
+        store: &mut SnapshotStore,
+        batch: &mut Vec<PersistedEvent>,
+        counters: &mut Counters,
+    ) -> Result<(), SnapshotStoreError> {
+        let (mut keys, mut latest) = (Vec::new(), None);
+        for event in batch.drain(..) {
+            match event {
+                PersistedEvent::IdempotencyKey(key) => keys.push(key),
+                PersistedEvent::Snapshot { classes, engines, keys } => {
+                    latest = Some(SnapshotParts { classes, engines, keys });
+                }
+            }
+        }
+        if let Some(parts) = latest {
+            let mut snapshot = self.snapshot(parts);
+            // Keys that were sent after the snapshot was taken.
+            for key in &keys {
+                snapshot.add(*key);
+            }
+            store.save(&mut self.folder, &snapshot.sanitized())?;
+            counters.snapshots += 1;
+        } else if !keys.is_empty() {
+            store.append(&mut self.folder, &keys)?;
+        }
+        counters.keys += keys.len() as u64;
+        Ok(())
+    }
+
+    fn snapshot(&self, parts: SnapshotParts) -> Snapshot {
+        let mut engines = Vec::new();
+        self.registry.for_each_engine(|name, engine, started| {
+            let observed = parts.engines.iter().find(|observed| observed.engine == engine);
+            let Some(observed) = observed else { return };
+            engines.push(EngineRecord {
+                id: name.to_owned(),
+                started: started.map_or(0, |time| time.0 / 1000),
+                slowdown: observed.slowdown,
+                ejected_until: observed.ejected_until.map_or(0, |time| time.0 / 1000),
+            });
+        });
+        let class = |(name, stats): (&String, &ClassLatencyStats)| ClassRecord {
+            name: name.clone(),
+            exec: (stats.execution_time.mean, stats.execution_time.samples),
+            best: None,
+            width: (stats.work_per_thread.mean, stats.work_per_thread.samples),
+        };
+        let classes = self.classes.iter().zip(&parts.classes).map(class).collect();
+        let (written, serial) = (unix_ms(), self.registry.serial());
+        Snapshot { written, serial, live_gateways: 0, engines, classes, keys: parts.keys }
+    }
+
+    fn update_metrics(&self, counters: &Counters) {
+        self.metrics.set_persistence(vec![
+            Metric::counter("records", counters.snapshots),
+            Metric::counter("keys_kept", counters.keys),
+            Metric::counter("errors", counters.errors),
+            Metric::counter("dropped", counters.dropped),
+        ]);
+    }
+}
--- a/gateway/src/quotas.rs
+++ b/gateway/src/quotas.rs
@@ -5,7 +5,7 @@
 use crate::shared_store::client::SharedStoreClient;
 use crate::shared_store::unix_ms;
 use reedwalk_scheduler::ClassId;
-use reedwalk_store::lease::{ALONE, EVEN, Purse, Spend};
+use reedwalk_shared_store::quota_lease::{EVEN_SHARE, QuotaLease, STORE_DOWN_SHARE, SpendResult};
 use std::collections::HashMap;
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -63,7 +63,7 @@
     costs: HashMap<ClassId, u64>,
     budget: u64,
     window_ms: u64,
-    lease: Mutex<Purse>,
+    lease: Mutex<QuotaLease>,
     /// Held by whoever leases units for all who wait.
     leasing: tokio::sync::Mutex<()>,
 }
@@ -74,18 +74,18 @@
             costs,
             budget: contract.budget,
             window_ms: contract.window_ms,
-            lease: Mutex::new(Purse::new(contract.budget, gateways, share)),
+            lease: Mutex::new(QuotaLease::new(contract.budget, gateways, share)),
             leasing: tokio::sync::Mutex::default(),
         }
     }
 
-    fn lease(&self) -> MutexGuard<'_, Purse> {
+    fn lease(&self) -> MutexGuard<'_, QuotaLease> {
         self.lease.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn window(&self) -> Window {
         let unix = unix_ms();
-        let number = self.lease().window(unix / self.window_ms);
+        let number = self.lease().advance_to(unix / self.window_ms);
         Window { number, left: Duration::from_millis(self.end_ms(number).saturating_sub(unix)) }
     }
 
@@ -112,7 +112,7 @@
         gateways: u32,
         store: Option<Arc<SharedStoreClient>>,
     ) -> Result<Self, BadContract> {
-        let share = if store.is_some() { ALONE } else { EVEN };
+        let share = if store.is_some() { STORE_DOWN_SHARE } else { EVEN_SHARE };
         let mut by_team = HashMap::new();
         for contract in contracts {
             let bad = |reason: String| BadContract { team: contract.team.clone(), reason };
@@ -156,17 +156,17 @@
         loop {
             let now = Instant::now();
             let window = account.window();
-            let spent = account.lease().spend(request.amount, usable && now < deadline, now.into_std());
+            let spent = account.lease().charge(request.amount, usable && now < deadline, now.into_std());
             match spent {
-                Spend::Granted => {
+                SpendResult::Granted => {
                     self.lease_ahead(request, account);
                     return QuotaDecision::Admitted(Charge {
                         request: request.clone(),
                         window: window.number,
                     });
                 }
-                Spend::Denied => return QuotaDecision::Exhausted(window.left),
-                Spend::Lease(wanted) => {
+                SpendResult::Denied => return QuotaDecision::Exhausted(window.left),
+                SpendResult::Lease(wanted) => {
                     usable = self.lease(&request.team, account, request.amount, wanted, deadline).await;
                 }
             }
@@ -186,7 +186,7 @@
         let Some(store) = &self.store else { return false };
         let Ok(_turn) = timeout_at(deadline, account.leasing.lock()).await else { return false };
         let window = account.window().number;
-        if account.lease().holds(amount) {
+        if account.lease().covers(amount) {
             return true;
         }
         if !store.is_usable(Instant::now(), deadline) {
@@ -196,14 +196,14 @@
         let key = store.quota_key(team, account.window_ms, window);
         let leased = store.lease_quota(&key, wanted, account.budget, expires_ms, deadline).await;
         let Some(units) = leased else { return false };
-        account.lease().leased(window, wanted, units, Instant::now().into_std());
+        account.lease().add_leased(window, wanted, units, Instant::now().into_std());
         true
     }
 
     /// Leases units before they are needed, so that requests find them here.
     fn lease_ahead(self: &Arc<Self>, request: &QuotaRequest, account: &Account) {
         let Some(store) = &self.store else { return };
-        let Some(wanted) = account.lease().ahead(Instant::now().into_std()) else { return };
+        let Some(wanted) = account.lease().wanted_ahead(Instant::now().into_std()) else { return };
         if account.leasing.try_lock().is_err() {
             return;
         }
@@ -232,7 +232,7 @@
             for (team, account) in &self.by_team {
                 let now = Instant::now();
                 let window = account.window().number;
-                let idle = account.lease().give_back(now.into_std());
+                let idle = account.lease().take_idle(now.into_std());
                 let deadline = now + RETURN_TIMEOUT;
                 if let Some(units) = idle.filter(|_| store.is_usable(now, deadline)) {
                     let key = store.quota_key(team, account.window_ms, window);
--- a/gateway/src/serve/mod.rs
+++ b/gateway/src/serve/mod.rs
@@ -1,13 +1,16 @@
 //! Starting and running the program: [`start`] assembles the subsystems, [`serve`] runs them until SIGTERM.
 
 mod assembly;
+mod base;
 mod listeners;
 mod reload;
 mod running;
+mod subsystems;
 
-pub use assembly::{quotas, start};
+pub use assembly::start;
 pub use reload::Reloads;
 pub use running::Running;
+pub use subsystems::quotas;
 
 use crate::config::{Config, ConfigError};
 use crate::operator::Operator;
@@ -92,11 +95,11 @@
             () = &mut broker_ended => return Err(ServeError::BrokerEnded),
         }
     }
-    let told_at = Instant::now();
+    let terminated_at = Instant::now();
     info!(log, "closing");
     let shutdown = async {
-        running.overlap(told_at).await;
-        running.close(told_at).await;
+        running.overlap(terminated_at).await;
+        running.close(terminated_at).await;
     };
     tokio::pin!(shutdown);
     loop {
--- a/gateway/src/serve/running.rs
+++ b/gateway/src/serve/running.rs
@@ -69,9 +69,9 @@
     }
 
     /// Announces the shutdown, and returns once another process of this gateway takes clients at the same address, or
-    /// after the overlap: until then new clients have nowhere else to go. SIGTERM came at `told_at`.
-    pub async fn overlap(&self, told_at: Instant) {
-        let deadlines = ShutdownDeadlines::new(told_at, self.longest_deadline);
+    /// after the overlap: until then new clients have nowhere else to go. SIGTERM came at `terminated_at`.
+    pub async fn overlap(&self, terminated_at: Instant) {
+        let deadlines = ShutdownDeadlines::new(terminated_at, self.longest_deadline);
         self.phase.send_replace(Phase::Ending(deadlines));
         self.stage.send_replace(ProcessStage::Closing);
         self.gossip_closing.send_replace(true);
@@ -82,12 +82,12 @@
                 std::future::pending::<()>().await;
             }
         };
-        let _ = timeout_at(told_at + OVERLAP, relieved).await;
+        let _ = timeout_at(terminated_at + OVERLAP, relieved).await;
     }
 
-    /// Closes the fronts to new clients and waits until everything taken is answered. SIGTERM came at `told_at`.
-    pub async fn close(mut self, told_at: Instant) {
-        let deadlines = ShutdownDeadlines::new(told_at, self.longest_deadline);
+    /// Closes the fronts to new clients and waits until everything taken is answered. SIGTERM came at `terminated_at`.
+    pub async fn close(mut self, terminated_at: Instant) {
+        let deadlines = ShutdownDeadlines::new(terminated_at, self.longest_deadline);
         self.phase.send_replace(Phase::Closing(deadlines));
         self.health.set_serving(false);
         // Each session holds a sender: when all are gone, everything taken has been answered.
--- /dev/null
+++ b/gateway/src/serve/subsystems.rs
@@ -0,0 +1,279 @@
+//! The steps of the assembly: each starts one subsystem and returns a handle to it.
+
+use super::ServeError;
+use super::base::{Base, Fronts, GossipChannels, Processes};
+use super::listeners::{AddressUse, listen};
+use crate::broker::{Broker, BrokerContext, RecoverySetup, RequestQueue};
+use crate::console::Console;
+use crate::discovery::DiscoverySource;
+use crate::discovery::endpoint_list::EndpointList;
+use crate::drain_guard::DrainGuards;
+use crate::engine::{flight, resp};
+use crate::front;
+use crate::front::flight::Service;
+use crate::front::mysql::Front;
+use crate::gossip::{GossipContext, GossipGroup, GossipTask};
+use crate::hot_restart::HANDOVER_DELAY;
+use crate::message::{BrokerEvent, EndpointMailbox, EngineTransport, GossipHandle};
+use crate::operator::error::OperatorFileError;
+use crate::operator::{EngineWire, Operator, Store};
+use crate::persistence;
+use crate::quotas::QuotaManager;
+use crate::registry::EndpointRegistry;
+use crate::registry::override_file::OverrideFile;
+use crate::shared_store::client::SharedStoreClient;
+use crate::shared_store::unix_ms;
+use reedwalk_recovery::snapshot_codec::SnapshotOwner;
+use reedwalk_scheduler::{Idempotency, Scheduler};
+use reedwalk_settings::Deployment;
+use slog::{error, info};
+use std::hash::{BuildHasher, Hasher, RandomState};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, watch};
+use tokio::time::{Instant, sleep_until};
+
+/// Share of the descriptors that connections to engines may hold; client sessions take 0.6.
+const ENGINE_DESCRIPTOR_SHARE: f64 = 0.3;
+
+/// The quotas of an operator's file; `None` where it names no contracts, and nothing is checked.
+///
+/// # Errors
+/// Where a contract makes no sense.
+pub fn quotas(
+    operator: &Operator,
+    deployment: &Deployment,
+    shared_store: Option<Arc<SharedStoreClient>>,
+) -> Result<Option<QuotaManager>, ServeError> {
+    let Some(contracts) = &operator.contracts else { return Ok(None) };
+    let (classes, gateways) = (&deployment.sockets.classes, deployment.core.gateways);
+    let quotas = QuotaManager::new(contracts, classes, gateways, shared_store);
+    quotas.map(Some).map_err(ServeError::Contract)
+}
+
+impl Base {
+    /// The client of the shared store, if the operator's file names one.
+    pub(super) fn connect_shared_store(&self) -> Result<Option<Arc<SharedStoreClient>>, ServeError> {
+        let Store::Redis(url, options) = &self.operator.store else { return Ok(None) };
+        let windows = self.deployment.core.classes.iter().filter_map(|class| match class.idempotency {
+            Idempotency::Keyed { window, .. } => Some(window),
+            _ => None,
+        });
+        let longest_window = windows.max().unwrap_or_default();
+        // Drawn by the system for each process.
+        let process = RandomState::new().build_hasher().finish();
+        let log = self.log_of("shared_store");
+        let client = SharedStoreClient::new(url, options.clone(), process, longest_window, log);
+        let client = Arc::new(client.map_err(ServeError::Store)?);
+        tokio::spawn(client.clone().run());
+        Ok(Some(client))
+    }
+
+    pub(super) fn broker_context(
+        &self,
+        processes: &Processes,
+        shared_store: Option<Arc<SharedStoreClient>>,
+        gossip: Option<GossipHandle>,
+    ) -> BrokerContext {
+        BrokerContext {
+            endpoints: EndpointMailbox::default(),
+            metrics: self.metrics.clone(),
+            share: processes.share.clone(),
+            phase: self.phase.clone(),
+            shared_store: shared_store.filter(|store| store.options().share_keys),
+            gossip,
+        }
+    }
+
+    /// The owner of the endpoint list, with the endpoints of the configuration and the operators' overrides.
+    pub(super) fn start_registry(
+        &self,
+        processes: &Processes,
+        endpoints: EndpointMailbox,
+    ) -> Result<EndpointRegistry, ServeError> {
+        let overrides = processes.files.as_ref().map(|(folder, stem)| OverrideFile::new(folder, stem));
+        let drain_guards = DrainGuards::new(self.deployment.core.rules.drain_grace);
+        let list = EndpointList::new(self.sockets.clone());
+        let (metrics, log) = (self.metrics.clone(), self.log_of("registry"));
+        let registry = EndpointRegistry::new(list, drain_guards, endpoints, metrics, overrides, log);
+        if let Some(known) = &self.config.known {
+            let engines = registry.start(known).map_err(ServeError::Known)?;
+            let serial = registry.serial();
+            info!(self.log, "start"; "name" => &self.config.name, "engines" => engines, "serial" => ?serial);
+        }
+        tokio::spawn(registry.clone().watch_override_file());
+        Ok(registry)
+    }
+
+    pub(super) fn start_gossip(
+        &self,
+        group: GossipGroup,
+        channels: GossipChannels,
+        registry: &EndpointRegistry,
+        sources: watch::Receiver<DiscoverySource>,
+        closing: watch::Receiver<bool>,
+    ) {
+        let context = GossipContext {
+            registry: registry.clone(),
+            events: self.events.clone(),
+            outliers: channels.outliers,
+            observations: channels.observations,
+            sources,
+            closing,
+            metrics: self.metrics.clone(),
+            seed: self.config.seed,
+        };
+        tokio::spawn(GossipTask::new(group, context, self.log_of("gossip")).run());
+    }
+
+    /// Restores what the process before has persisted, and starts the thread that persists what this one learns.
+    pub(super) fn restore_state(
+        &self,
+        owner: Option<SnapshotOwner>,
+        registry: &EndpointRegistry,
+        scheduler: &mut Scheduler,
+    ) -> Result<Option<RecoverySetup>, ServeError> {
+        let (Some(options), Some(owner)) = (&self.operator.state, owner) else { return Ok(None) };
+        let log = self.log_of("persistence");
+        let folder = persistence::folder::Folder::open(&options.folder).map_err(|error| {
+            let what = format!("'state': {}: {error}", options.folder.display());
+            ServeError::Operator(OperatorFileError { line: options.line, what })
+        })?;
+        let memory = persistence::load_snapshot(&folder, owner, &log).snapshot;
+        let now = unix_ms();
+        scheduler.restore_class_stats(&persistence::restored_class_stats(
+            &memory,
+            &self.sockets.classes,
+            now,
+        ));
+        for event in persistence::restored_observations(&memory, registry, now) {
+            // They reach the broker after the endpoint list, and before anything that comes from outside.
+            let _ = self.events.try_send(event);
+        }
+        let (persisted_events, received) = mpsc::channel(persistence::QUEUE_CAPACITY);
+        let thread = persistence::PersistenceThread {
+            folder,
+            owner,
+            classes: self.sockets.classes.clone(),
+            registry: registry.clone(),
+            metrics: self.metrics.clone(),
+            log,
+        };
+        thread.start(received).map_err(|error| ServeError::Io("state", error))?;
+        let has_name_server = self.config.names.is_some();
+        let health = self.health.clone();
+        Ok(Some(RecoverySetup { persisted_events, keys: memory.keys, has_name_server, health }))
+    }
+
+    pub(super) fn start_console(
+        &self,
+        registry: &EndpointRegistry,
+    ) -> Result<Option<SocketAddr>, ServeError> {
+        let Some(address) = self.config.console else { return Ok(None) };
+        let (listener, address) = listen(address, AddressUse::Exclusive)?;
+        let (health, metrics) = (self.health.clone(), self.metrics.clone());
+        let console = Console::new(health, metrics, registry.clone(), self.log_of("console"));
+        tokio::spawn(Arc::new(console).serve(listener));
+        Ok(Some(address))
+    }
+
+    pub(super) fn engine_transport(&self) -> Box<dyn EngineTransport> {
+        let max_connections = (self.config.limits.sockets as f64 * ENGINE_DESCRIPTOR_SHARE) as usize;
+        let (sockets, events) = (self.sockets.clone(), self.events.clone());
+        let (metrics, multicore) = (self.metrics.clone(), self.multicore.clone());
+        match self.operator.engines {
+            EngineWire::Resp => {
+                let interval = self.deployment.core.engine.progress_interval;
+                let transport =
+                    resp::Transport::new(sockets, max_connections, interval, events, metrics, multicore);
+                Box::new(transport)
+            }
+            EngineWire::FlightSql => {
+                Box::new(flight::Transport::new(sockets, max_connections, events, metrics, multicore))
+            }
+        }
+    }
+
+    pub(super) fn start_quotas(
+        &self,
+        shared_store: Option<Arc<SharedStoreClient>>,
+    ) -> Result<Option<Arc<QuotaManager>>, ServeError> {
+        let quotas = quotas(&self.operator, &self.deployment, shared_store)?.map(Arc::new);
+        if let Some(quotas) = quotas.clone() {
+            tokio::spawn(quotas.run());
+        }
+        Ok(quotas)
+    }
+
+    /// Starts the broker's task. The receiver turns true once it has ended.
+    pub(super) fn start_broker(
+        &self,
+        broker: Broker<Box<dyn EngineTransport>>,
+        received: mpsc::Receiver<BrokerEvent>,
+    ) -> watch::Receiver<bool> {
+        let task = self.multicore.spawn_broker(broker.run(received));
+        let (ended, broker_ended) = watch::channel(false);
+        let log = self.log.clone();
+        tokio::spawn(async move {
+            if let Err(error) = task.await {
+                error!(log, "the broker's task has ended"; "error" => %error);
+            }
+            ended.send_replace(true);
+        });
+        broker_ended
+    }
+
+    /// Watches the cores. The receiver gets the number of each that has ended.
+    pub(super) fn watch_cores(&self) -> mpsc::Receiver<usize> {
+        let (lost, lost_cores) = mpsc::channel(1);
+        tokio::spawn(self.multicore.clone().watch(lost, self.log_of("multicore")));
+        lost_cores
+    }
+
+    /// Starts the fronts, once the other process of a hot restart has given up half of its connections.
+    pub(super) async fn start_fronts(
+        &self,
+        quotas: Option<Arc<QuotaManager>>,
+        processes: &Processes,
+    ) -> Result<Fronts, ServeError> {
+        let request_queue = RequestQueue::new(self.events.clone(), self.metrics.clone());
+        if processes.is_second {
+            sleep_until(Instant::now() + HANDOVER_DELAY).await;
+        }
+        let (session, sessions) = mpsc::channel(1);
+        let (listener, mysql) = listen(self.config.listen, self.address_use())?;
+        let flight = self.start_flight_front(&request_queue, &session)?;
+        self.start_mysql_front(listener, request_queue, quotas, processes, session);
+        Ok(Fronts { mysql, flight, sessions })
+    }
+
+    pub(super) fn start_flight_front(
+        &self,
+        request_queue: &RequestQueue,
+        session: &mpsc::Sender<()>,
+    ) -> Result<Option<SocketAddr>, ServeError> {
+        let Some(options) = self.operator.flight.clone() else { return Ok(None) };
+        let (listener, address) = listen(options.listen, self.address_use())?;
+        let service = Service::new(request_queue.clone(), self.deployment.clone(), self.config.seed);
+        let (multicore, phase) = (self.multicore.clone(), self.phase.clone());
+        let (session, log) = (session.clone(), self.log_of("flight"));
+        tokio::spawn(front::flight::serve(listener, service, options, multicore, phase, session, log));
+        Ok(Some(address))
+    }
+
+    pub(super) fn start_mysql_front(
+        &self,
+        listener: TcpListener,
+        request_queue: RequestQueue,
+        quotas: Option<Arc<QuotaManager>>,
+        processes: &Processes,
+        session: mpsc::Sender<()>,
+    ) {
+        let (deployment, limits, seed) = (self.deployment.clone(), &self.config.limits, self.config.seed);
+        let (multicore, log) = (self.multicore.clone(), self.log.clone());
+        let front = Front::new(request_queue, deployment, quotas, limits, seed, multicore, log);
+        let (phase, share) = (self.phase.clone(), processes.share.clone());
+        tokio::spawn(Arc::new(front).serve(listener, phase, share, session));
+    }
+}
--- a/gateway/src/shared_store/background.rs
+++ b/gateway/src/shared_store/background.rs
@@ -3,10 +3,10 @@
 use super::client::{LossCounts, PendingWrite, SharedStoreClient};
 use super::scripts::{KeyWrite, millis};
 use redis::{Pipeline, ScriptInvocation};
-use reedwalk_store::beat;
-use reedwalk_store::breaker::Health;
-use reedwalk_store::codec;
-use reedwalk_store::keyed::{Close, Stage};
+use reedwalk_shared_store::circuit_breaker::Health;
+use reedwalk_shared_store::codec;
+use reedwalk_shared_store::freshness;
+use reedwalk_shared_store::idempotency::{ClaimEnd, Stage};
 use slog::warn;
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,14 +38,14 @@
             }
             let write_deadline = now + WRITE_TIMEOUT;
             if now >= next_heartbeat {
-                next_heartbeat = now + beat::EVERY;
+                next_heartbeat = now + freshness::HEARTBEAT_INTERVAL;
                 // Trial calls of the circuit breaker are made here, whether requests come or not: so the store is
                 // found again.
                 if self.is_usable(now, now + self.options.wait) {
                     self.write_heartbeat(now).await;
                 }
             }
-            if self.health() == Health::Well {
+            if self.health() == Health::Healthy {
                 self.flush(write_deadline).await;
             }
         }
@@ -61,7 +61,7 @@
 
     /// Reads back the last heartbeat and writes the next one.
     async fn write_heartbeat(&self, now: Instant) {
-        let count = self.state().freshness.draw();
+        let count = self.state().freshness.next_count();
         let key = self.heartbeat_key();
         let mut pipe = Pipeline::new();
         pipe.atomic().get(&key);
@@ -73,7 +73,7 @@
         let Some((found,)) = self.connection.observe(answer, now + self.options.wait).await else { return };
         self.check_freshness(found);
         let mut state = self.state();
-        state.freshness.confirmed(count, now.into_std());
+        state.freshness.on_confirmed(count, now.into_std());
         let losses = LossCounts { unreadable: state.unreadable, dropped: state.outbox.dropped() };
         if std::mem::replace(&mut state.logged_losses, losses) != losses {
             warn!(self.log, "shared store"; "unreadable" => losses.unreadable, "dropped" => losses.dropped);
@@ -96,17 +96,17 @@
     fn invocation(&self, write: &PendingWrite) -> ScriptInvocation<'_> {
         match write {
             PendingWrite::Renew { key, holder } => self.scripts.renew(key, *holder),
-            PendingWrite::Close { key, holder, window, close } => {
+            PendingWrite::ClaimEnd { key, holder, window, close } => {
                 let value = match close {
-                    Close::Done(answer) => codec::encode(answer),
+                    ClaimEnd::Done(answer) => codec::encode(answer),
                     _ => None,
                 };
                 let (stage, ttl) = match close {
                     // An answer too large to be stored: a retry goes where the request went first.
-                    Close::Done(_) if value.is_none() => (None, Duration::ZERO),
-                    Close::Done(_) => (Some(Stage::Done), *window * 2),
-                    Close::Free(stage) => (Some(*stage), Duration::ZERO),
-                    Close::Release => (None, Duration::ZERO),
+                    ClaimEnd::Done(_) if value.is_none() => (None, Duration::ZERO),
+                    ClaimEnd::Done(_) => (Some(Stage::Done), *window * 2),
+                    ClaimEnd::ReleaseWith(stage) => (Some(*stage), Duration::ZERO),
+                    ClaimEnd::Release => (None, Duration::ZERO),
                 };
                 let value = value.as_deref().unwrap_or_default();
                 self.scripts.write(key, *holder, &KeyWrite { stage, value, ttl, release: true })
--- a/gateway/src/shared_store/client.rs
+++ b/gateway/src/shared_store/client.rs
@@ -8,11 +8,11 @@
 use crate::message::ClaimAnswer;
 use bytes::Bytes;
 use redis::RedisError;
-use reedwalk_store::beat::Beat;
-use reedwalk_store::breaker::Health;
-use reedwalk_store::codec;
-use reedwalk_store::keyed::{Claimed, Close, Holder, Prior, Sent, Stage};
-use reedwalk_store::outbox::Outbox;
+use reedwalk_shared_store::circuit_breaker::Health;
+use reedwalk_shared_store::codec;
+use reedwalk_shared_store::freshness::FreshnessCheck;
+use reedwalk_shared_store::idempotency::{ClaimEnd, ClaimHolder, ClaimReply, SendRecord, Stage, StoredState};
+use reedwalk_shared_store::write_behind::WriteBehindQueue;
 use slog::{Logger, warn};
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -30,9 +30,9 @@
 #[derive(Debug)]
 pub(super) enum PendingWrite {
     /// The end of a request.
-    Close { key: Key, holder: Holder, window: Duration, close: Close },
+    ClaimEnd { key: Key, holder: ClaimHolder, window: Duration, close: ClaimEnd },
     /// The renewal of a lease.
-    Renew { key: Key, holder: Holder },
+    Renew { key: Key, holder: ClaimHolder },
 }
 
 /// Counts of what went wrong, as they were last logged.
@@ -44,10 +44,10 @@
 
 #[derive(Debug)]
 pub(super) struct State {
-    pub(super) freshness: Beat,
-    pub(super) outbox: Outbox<PendingWrite>,
+    pub(super) freshness: FreshnessCheck,
+    pub(super) outbox: WriteBehindQueue<PendingWrite>,
     /// Keys that this process has claimed, whose leases are to be renewed.
-    pub(super) held: HashMap<Holder, Key>,
+    pub(super) held: HashMap<ClaimHolder, Key>,
     claims: u64,
     pub(super) unreadable: u64,
     pub(super) logged_losses: LossCounts,
@@ -68,7 +68,7 @@
 }
 
 /// What the claim script returns: claimed, milliseconds left of another's lease, stage, value, heartbeat.
-type ClaimReply = (i64, i64, Option<Vec<u8>>, Option<Vec<u8>>, Option<u64>);
+type ScriptReply = (i64, i64, Option<Vec<u8>>, Option<Vec<u8>>, Option<u64>);
 
 impl SharedStoreClient {
     /// A client of the Redis at this URL. `process` is the number of this process and of no other; facts in the store
@@ -84,8 +84,8 @@
         log: Logger,
     ) -> Result<Self, RedisError> {
         let state = State {
-            freshness: Beat::new(window, Instant::now().into_std()),
-            outbox: Outbox::new(MAX_PENDING_WRITES),
+            freshness: FreshnessCheck::new(window, Instant::now().into_std()),
+            outbox: WriteBehindQueue::new(MAX_PENDING_WRITES),
             held: HashMap::new(),
             claims: 0,
             unreadable: 0,
@@ -122,10 +122,10 @@
     }
 
     /// A new name for the holder of a claim; never given twice.
-    pub fn next_holder(&self) -> Holder {
+    pub fn next_holder(&self) -> ClaimHolder {
         let mut state = self.state();
         state.claims += 1;
-        Holder { front: self.process, claim: state.claims }
+        ClaimHolder { process: self.process, claim: state.claims }
     }
 
     /// The key of this process's heartbeat.
@@ -148,25 +148,25 @@
     pub async fn claim(
         &self,
         key: &Key,
-        holder: Holder,
+        holder: ClaimHolder,
         is_retry: bool,
         window: Duration,
         deadline: Instant,
     ) -> Option<ClaimAnswer> {
         let stage = if is_retry { Stage::Unknown } else { Stage::Claimed };
         let call = self.scripts.claim(key, &self.heartbeat_key(), holder, stage, window);
-        let reply: ClaimReply = self.connection.invoke(&call, deadline).await?;
+        let reply: ScriptReply = self.connection.invoke(&call, deadline).await?;
         let (claimed, lease_left_ms, stage, value, heartbeat) = reply;
-        let (taken, prior) = (claimed == 1, prior(stage, value));
+        let (is_claimed, stored) = (claimed == 1, stored_state(stage, value));
         let trusted = self.check_freshness(heartbeat);
         let mut state = self.state();
-        state.unreadable += u64::from(prior == Prior::Unreadable);
-        if taken {
+        state.unreadable += u64::from(stored == StoredState::Unreadable);
+        if is_claimed {
             state.held.insert(holder, key.clone());
         }
         drop(state);
         let lease_left = Duration::from_millis(lease_left_ms.max(0) as u64);
-        Some(ClaimAnswer { claimed: Claimed { taken, lease_left, prior }, trusted })
+        Some(ClaimAnswer { claimed: ClaimReply { is_claimed, lease_left, stored }, trusted })
     }
 
     /// Takes in this process's own heartbeat as the store has it. Returns whether the store's word that nothing was
@@ -174,9 +174,9 @@
     pub(super) fn check_freshness(&self, heartbeat: Option<u64>) -> bool {
         let now = Instant::now().into_std();
         let mut state = self.state();
-        let was_trusted = state.freshness.trusts(now);
-        state.freshness.read(heartbeat, now);
-        let is_trusted = state.freshness.trusts(now);
+        let was_trusted = state.freshness.is_trusted(now);
+        state.freshness.on_read(heartbeat, now);
+        let is_trusted = state.freshness.is_trusted(now);
         drop(state);
         if was_trusted && !is_trusted {
             warn!(self.log, "shared store"; "state" => "stale", "count" => ?heartbeat);
@@ -188,8 +188,8 @@
     pub async fn record_sent(
         &self,
         key: &Key,
-        holder: Holder,
-        sent: Sent,
+        holder: ClaimHolder,
+        sent: SendRecord,
         window: Duration,
         deadline: Instant,
     ) -> Option<bool> {
@@ -223,29 +223,29 @@
     }
 
     /// Queues the end of a request to be written.
-    pub fn close(&self, key: Key, holder: Holder, window: Duration, close: Close) {
+    pub fn close(&self, key: Key, holder: ClaimHolder, window: Duration, close: ClaimEnd) {
         let mut state = self.state();
         state.held.remove(&holder);
-        state.outbox.push(PendingWrite::Close { key, holder, window, close });
+        state.outbox.push(PendingWrite::ClaimEnd { key, holder, window, close });
         drop(state);
         self.written.notify_one();
     }
 
     /// Forgets a claim that did not succeed, or of which nobody knows whether it did.
-    pub fn forget(&self, holder: Holder) {
+    pub fn forget(&self, holder: ClaimHolder) {
         self.state().held.remove(&holder);
     }
 }
 
 /// What stood in the store, as far as it can be read.
-fn prior(stage: Option<Vec<u8>>, value: Option<Vec<u8>>) -> Prior {
-    let Some(stage) = stage else { return Prior::Absent };
+fn stored_state(stage: Option<Vec<u8>>, value: Option<Vec<u8>>) -> StoredState {
+    let Some(stage) = stage else { return StoredState::Absent };
     let value = value.unwrap_or_default();
-    let read = match Stage::read(&stage) {
-        Some(Stage::Sent) => codec::decode(&value).ok().map(Prior::Sent),
-        Some(Stage::Done) => codec::decode(&value).ok().map(Prior::Done),
-        Some(stage) => Some(Prior::Stage(stage)),
+    let read = match Stage::from_code(&stage) {
+        Some(Stage::Sent) => codec::decode(&value).ok().map(StoredState::Sent),
+        Some(Stage::Done) => codec::decode(&value).ok().map(StoredState::Done),
+        Some(stage) => Some(StoredState::Stage(stage)),
         None => None,
     };
-    read.unwrap_or(Prior::Unreadable)
+    read.unwrap_or(StoredState::Unreadable)
 }
--- a/gateway/src/shared_store/connection.rs
+++ b/gateway/src/shared_store/connection.rs
@@ -2,7 +2,7 @@
 
 use redis::aio::MultiplexedConnection;
 use redis::{Client, FromRedisValue, RedisError, ScriptInvocation};
-use reedwalk_store::breaker::{Breaker, Fault, Health};
+use reedwalk_shared_store::circuit_breaker::{CircuitBreaker, Fault, Health};
 use slog::{Logger, info, warn};
 use std::future::Future;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,7 +13,7 @@
 pub(super) struct Connection {
     client: Client,
     open: tokio::sync::Mutex<Option<MultiplexedConnection>>,
-    breaker: Mutex<Breaker>,
+    breaker: Mutex<CircuitBreaker>,
     log: Logger,
 }
 
@@ -24,17 +24,17 @@
     /// Where it is not the URL of a Redis.
     pub(super) fn new(url: &str, seed: u64, log: Logger) -> Result<Self, RedisError> {
         let client = Client::open(url)?;
-        let breaker = Mutex::new(Breaker::new(seed));
+        let breaker = Mutex::new(CircuitBreaker::new(seed));
         Ok(Self { client, open: tokio::sync::Mutex::new(None), breaker, log })
     }
 
-    fn breaker(&self) -> MutexGuard<'_, Breaker> {
+    fn breaker(&self) -> MutexGuard<'_, CircuitBreaker> {
         self.breaker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Whether Redis may be asked now, for an answer by `deadline`.
     pub(super) fn is_usable(&self, now: Instant, deadline: Instant) -> bool {
-        self.breaker().may_ask(now.into_std(), deadline.into_std())
+        self.breaker().allows_call(now.into_std(), deadline.into_std())
     }
 
     /// How well Redis answers.
@@ -74,25 +74,25 @@
     ) -> Option<T> {
         let (fault, reason) = match timeout_at(deadline, answer).await {
             Ok(Ok(answer)) => {
-                let changed = self.breaker().answered();
+                let changed = self.breaker().on_success();
                 self.log_health(changed, "answers");
                 return Some(answer);
             }
-            Ok(Err(error)) => (Fault::Gone, error.to_string()),
-            Err(_) => (Fault::Slow, "no answer in time".to_owned()),
+            Ok(Err(error)) => (Fault::Error, error.to_string()),
+            Err(_) => (Fault::Timeout, "no answer in time".to_owned()),
         };
         // Where the lock is taken, another call is connecting anew already.
         if let Ok(mut open) = self.open.try_lock() {
             *open = None;
         }
-        let changed = self.breaker().failed(fault, Instant::now().into_std());
+        let changed = self.breaker().on_failure(fault, Instant::now().into_std());
         self.log_health(changed, &reason);
         None
     }
 
     fn log_health(&self, changed: Option<Health>, reason: &str) {
         match changed {
-            Some(Health::Well) => info!(self.log, "shared store"; "state" => "well"),
+            Some(Health::Healthy) => info!(self.log, "shared store"; "state" => "well"),
             Some(health) => warn!(self.log, "shared store"; "state" => ?health, "error" => reason),
             None => {}
         }
--- a/gateway/src/shared_store/scripts.rs
+++ b/gateway/src/shared_store/scripts.rs
@@ -2,7 +2,7 @@
 //! hash, so that gateways of different versions share those that are alike.
 
 use redis::{Script, ScriptInvocation};
-use reedwalk_store::keyed::{Holder, LEASE, Stage};
+use reedwalk_shared_store::idempotency::{CLAIM_LEASE, ClaimHolder, Stage};
 use std::time::Duration;
 
 /// Claims a key that nobody works on. Returns: claimed (1 or 0), milliseconds left of another's lease, and the stage,
@@ -84,30 +84,35 @@
         &self,
         key: &[u8],
         heartbeat_key: &str,
-        holder: Holder,
+        holder: ClaimHolder,
         stage: Stage,
         window: Duration,
     ) -> ScriptInvocation<'_> {
         let mut call = self.claim.prepare_invoke();
         call.key(key).key(lease_key(key)).key(heartbeat_key);
-        call.arg(holder.to_string()).arg(millis(LEASE)).arg(millis(window)).arg(millis(window * 2));
-        call.arg(stage.letter());
+        call.arg(holder.to_string()).arg(millis(CLAIM_LEASE)).arg(millis(window)).arg(millis(window * 2));
+        call.arg(stage.code());
         call
     }
 
     /// Writes to `key` as its holder.
-    pub(super) fn write(&self, key: &[u8], holder: Holder, write: &KeyWrite<'_>) -> ScriptInvocation<'_> {
+    pub(super) fn write(
+        &self,
+        key: &[u8],
+        holder: ClaimHolder,
+        write: &KeyWrite<'_>,
+    ) -> ScriptInvocation<'_> {
         let mut call = self.write.prepare_invoke();
         call.key(key).key(lease_key(key)).arg(holder.to_string());
-        call.arg(write.stage.map_or("", Stage::letter)).arg(write.value).arg(millis(write.ttl));
+        call.arg(write.stage.map_or("", Stage::code)).arg(write.value).arg(millis(write.ttl));
         call.arg(u8::from(write.release));
         call
     }
 
     /// Renews the lease of `key` as its holder.
-    pub(super) fn renew(&self, key: &[u8], holder: Holder) -> ScriptInvocation<'_> {
+    pub(super) fn renew(&self, key: &[u8], holder: ClaimHolder) -> ScriptInvocation<'_> {
         let mut call = self.renew.prepare_invoke();
-        call.key(key).key(lease_key(key)).arg(holder.to_string()).arg(millis(LEASE));
+        call.key(key).key(lease_key(key)).arg(holder.to_string()).arg(millis(CLAIM_LEASE));
         call
     }
 
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -9,11 +9,11 @@
 pub const OVERLAP: Duration = Duration::from_millis(750);
 
 /// The platform counts a longest deadline as no more than this, and ends the process 0.7 s after that at the soonest.
-const LONGEST_MOST: Duration = Duration::from_secs(3);
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
 /// So long after the longest deadline, counted so, what is still open is answered.
-const ANSWERED_WITHIN: Duration = Duration::from_millis(600);
+const ANSWER_MARGIN: Duration = Duration::from_millis(600);
 /// So long after it the process ends, whether all clients have taken their answers or not.
-const ENDED_WITHIN: Duration = Duration::from_millis(660);
+const EXIT_MARGIN: Duration = Duration::from_millis(660);
 
 /// How far the end has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,8 +38,8 @@
 impl ShutdownDeadlines {
     /// The end of a process that was told to end at `told`, where no request's deadline is longer than `longest`.
     pub fn new(told: Instant, longest: Duration) -> Self {
-        let longest = told + longest.min(LONGEST_MOST);
-        Self { answered: longest + ANSWERED_WITHIN, gone: longest + ENDED_WITHIN }
+        let longest = told + longest.min(MAX_DEADLINE);
+        Self { answered: longest + ANSWER_MARGIN, gone: longest + EXIT_MARGIN }
     }
 }
 
--- a/gateway/tests/golden.rs
+++ b/gateway/tests/golden.rs
@@ -8,7 +8,7 @@
 use reedwalk_gateway::shared_store::SharedStoreOptions;
 use reedwalk_gateway::shared_store::client::SharedStoreClient;
 use reedwalk_operations::ProcessStage;
-use reedwalk_store::keyed::{Close, Sent};
+use reedwalk_shared_store::idempotency::{ClaimEnd, SendRecord};
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::sync::Arc;
@@ -63,14 +63,14 @@
     let claimed = format!("h={name} s=c");
     assert_eq!(contents(&redis), pairs([(at, &claimed), (lease, name)]));
 
-    let sent = Sent { group: 7, at_ms: 1_764_612_345_678 };
+    let sent = SendRecord { group: 7, at_ms: 1_764_612_345_678 };
     assert_eq!(client.record_sent(&key, holder, sent, WINDOW, by()).await, Some(true));
     let marked = format!("h={name} s=s v={SENT}");
     assert_eq!(contents(&redis), pairs([(at, &marked), (lease, name)]));
 
     let budget = client.quota_key("acquiring", 60_000, 29_410_205);
     assert_eq!(client.lease_quota(&budget, 25, 600, u64::MAX >> 12, by()).await, Some(25));
-    client.close(key, holder, WINDOW, Close::Done(b"an answer, packed".to_vec()));
+    client.close(key, holder, WINDOW, ClaimEnd::Done(b"an answer, packed".to_vec()));
     let writer = tokio::spawn(client.run());
     let done = format!("h= s=d v={DONE}");
     until("the end is written", || contents(&redis).get(at) == Some(&done)).await;
@@ -112,5 +112,5 @@
 #[test]
 fn snapshot_is_known_as_own_by_the_numbers_of_before() {
     let owner = owner(&config(&[]));
-    assert_eq!((owner.front, owner.settings), (2_437_067_630_976_460_137, 778_519_516_823_575_185));
+    assert_eq!((owner.gateway, owner.settings), (2_437_067_630_976_460_137, 778_519_516_823_575_185));
 }
--- a/gateway/tests/leaving.rs
+++ b/gateway/tests/leaving.rs
@@ -128,7 +128,7 @@
 }
 
 fn fronts() -> Operator {
-    let front = FlightFront { connections: 256, ..both_fronts(EngineWire::Resp).flight.unwrap() };
+    let front = FlightFront { max_connections: 256, ..both_fronts(EngineWire::Resp).flight.unwrap() };
     Operator { flight: Some(front), ..Operator::default() }
 }
 
--- a/gateway/tests/members.rs
+++ b/gateway/tests/members.rs
@@ -90,6 +90,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines, reason = "one arm for each step of the history")]
 async fn play(steps: Vec<Step>) -> Result<(), TestCaseError> {
     let folder = support::folder();
     let mut list = List { seq: 1, engines: (0..ENGINES).map(|n| (n, (0, 0))).collect() };
@@ -174,14 +175,14 @@
 
     #[test]
     fn no_line_breaks_the_console(bytes in prop::collection::vec(any::<u8>(), 0..300), text in "[A-Z]{0,8} ?[a-z0-9-]{0,8} ?") {
-        use reedwalk_gateway::console::line::{Call, LINE_MOST, read, whole};
+        use reedwalk_gateway::console::line::{Command, MAX_LINE_BYTES, read_command, whole_line};
         for line in [&bytes[..], text.as_bytes()] {
-            if let Ok(Some(line)) = whole(line) {
-                prop_assert!(line.len() <= LINE_MOST && !line.contains(&b'\n'));
+            if let Ok(Some(line)) = whole_line(line) {
+                prop_assert!(line.len() <= MAX_LINE_BYTES && !line.contains(&b'\n'));
             }
-            match read(line) {
-                Ok(Call::Offline(id) | Call::Online(id)) => prop_assert!(!id.is_empty() && !id.contains(' ')),
-                Ok(Call::Health | Call::Dump) => prop_assert!(line.len() >= 4),
+            match read_command(line) {
+                Ok(Command::Offline(id) | Command::Online(id)) => prop_assert!(!id.is_empty() && !id.contains(' ')),
+                Ok(Command::Health | Command::Dump) => prop_assert!(line.len() >= 4),
                 // One line, whatever was in the call.
                 Err(bad) => prop_assert!(!bad.to_string().contains('\n')),
             }
--- a/gateway/tests/names.rs
+++ b/gateway/tests/names.rs
@@ -59,7 +59,7 @@
     assert_eq!(changes.len(), 1);
     assert_eq!(changes[0].entry.state, EngineState::Draining);
     assert_eq!(changes[0].entry.started, Some(Time(1_700_000_000_123_000)));
-    // Serials wrap around.
+    // Serials wrap environment.
     let mut book = self::book();
     told(&mut book, u32::MAX, &[engine("s-0", 1)]);
     assert_eq!(told(&mut book, 3, &[]).len(), 1);
--- a/gateway/tests/operation.rs
+++ b/gateway/tests/operation.rs
@@ -122,7 +122,7 @@
             assert!(asked.elapsed() < Duration::from_secs(1), "an operator waited {:?}", asked.elapsed());
         }
     }
-    let most = reedwalk_gateway::console::CALLERS_MOST;
+    let most = reedwalk_gateway::console::MAX_CONNECTIONS;
     let mut open = slow.len();
     let by = Instant::now() + Duration::from_secs(2);
     while open > most && Instant::now() < by {
@@ -149,7 +149,7 @@
     let mut waits = TcpStream::connect(console).await.unwrap();
     waits.write_all(b"ONLINE s-0\n").await.unwrap();
     let mut newcomers = Vec::new();
-    for _ in 0..3 * reedwalk_gateway::console::CALLERS_MOST {
+    for _ in 0..3 * reedwalk_gateway::console::MAX_CONNECTIONS {
         newcomers.push(TcpStream::connect(console).await.unwrap());
     }
     // An answer to a later call says that all who came before it have been let in.
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -5,8 +5,9 @@
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use reedwalk_gateway::engine::resp::wire::{put_array, put_attempt, read_page, read_reply, take_array};
 use reedwalk_gateway::front::flight::metadata::timeout;
+use reedwalk_gateway::front::mysql::fields::take_fields;
 use reedwalk_gateway::front::mysql::packet::{Writer, read_command, read_login, take_packet};
-use reedwalk_gateway::front::mysql::statement::{group, kill_query, take_fields};
+use reedwalk_gateway::front::sql::{kill_query, table_group};
 use reedwalk_gateway::message::Rows;
 
 fn seeded() -> Config {
@@ -90,7 +91,7 @@
         let bytes = Bytes::from(garbage.clone());
         let _ = take_packet(&mut BytesMut::from(&garbage[..]), 0);
         let _ = (read_login(bytes.clone()), read_command(bytes.clone()), take_fields(&bytes));
-        let _ = (group(&bytes), kill_query(&bytes), read_page(&bytes, &mut Rows::default()));
+        let _ = (table_group(&bytes), kill_query(&bytes), read_page(&bytes, &mut Rows::default()));
         let id = garbage.first_chunk().map_or(0, |id| u16::from_be_bytes(*id));
         let _ = reedwalk_gateway::discovery::dns::read(&garbage, &[id]);
         let _ = timeout(&String::from_utf8_lossy(&garbage));
@@ -99,7 +100,7 @@
     #[test]
     fn text_near_sql_is_read_without_harm(text in "[/*'\"`#\\-a-z_0-9=,. \n]{0,80}") {
         let bytes = Bytes::from(text);
-        let _ = (group(&bytes), kill_query(&bytes), take_fields(&bytes));
+        let _ = (table_group(&bytes), kill_query(&bytes), take_fields(&bytes));
     }
 
     #[test]
@@ -143,7 +144,7 @@
         ("SELECT \"from sales_3.x\"", None),
     ];
     for (text, expected) in cases {
-        assert_eq!(group(text.as_bytes()), expected, "{text}");
+        assert_eq!(table_group(text.as_bytes()), expected, "{text}");
     }
     assert_eq!(kill_query(b"KILL QUERY 41"), Some(41));
     assert_eq!(kill_query(b"KILL 41"), None);
@@ -217,12 +218,15 @@
     let ok =
         reply(&["t", "200", "total=3,elapsed=820.5,rss=96,rep=inflight:7;util:0.61;x1:nan", "a\tb\tc\n"])
             .unwrap();
-    assert_eq!((ok.pages, ok.bill.unwrap().work.as_micros(), ok.bill.unwrap().memory_mb), (3, 820_500, 96.0));
+    assert_eq!(
+        (ok.pages, ok.usage.unwrap().work.as_micros(), ok.usage.unwrap().memory_mb),
+        (3, 820_500, 96.0)
+    );
     assert_eq!(
         (ok.load.unwrap().cpu, ok.load.unwrap().in_flight, ok.load.unwrap().disk),
         (Some(0.61), Some(7.0), None)
     );
-    let note = |fields| reply(&["t", "status", fields, ""]).unwrap().note;
+    let note = |fields| reply(&["t", "status", fields, ""]).unwrap().progress;
     assert_eq!(note("why=pct,datum=0.5"), Some(reedwalk_scheduler::ProgressReport::Done(0.5)));
     assert_eq!(note("why=queued,datum=2"), Some(reedwalk_scheduler::ProgressReport::WaitingForLoad));
     assert_eq!(note("-"), None);
--- a/gateway/tests/peers_config.rs
+++ b/gateway/tests/peers_config.rs
@@ -20,7 +20,7 @@
     let operator = operator::read(block).map_err(|f| f.to_string())?;
     let tier = group(&operator.peers.unwrap(), config).map_err(|f| f.to_string())?;
     Ok(tier.map_or("off".into(), |t| {
-        format!("{} of {} at {} {}", t.me, t.addresses.len(), t.listen, t.signed())
+        format!("{} of {} at {} {}", t.me, t.addresses.len(), t.listen, t.describe_signing())
     }))
 }
 
@@ -47,9 +47,9 @@
 #[test]
 fn where_the_settings_forbid_it_nothing_is_opened() {
     let mut config = of_two();
-    config.deployment.sockets.may_tell = Some(false);
+    config.deployment.sockets.may_gossip = Some(false);
     assert_eq!(said(&format!("peers {{\n {MEMBERS}}}"), &config).unwrap(), "off");
-    config.deployment.sockets.may_tell = Some(true);
+    config.deployment.sockets.may_gossip = Some(true);
     assert!(said(&format!("peers {{\n {MEMBERS}}}"), &config).is_ok());
 }
 
--- a/gateway/tests/recovery.rs
+++ b/gateway/tests/recovery.rs
@@ -40,6 +40,7 @@
     bound: u64,
 }
 
+#[expect(clippy::too_many_lines, reason = "one day told in order")]
 fn power_loss(state: bool, seed: u64) -> Loss {
     const FRONTS: usize = 12;
     let mut rig = Rig::start(Setup { state, cells: 3, ..setup(FRONTS, 12, seed) });
@@ -150,7 +151,7 @@
     let mut rig = Rig::start(Setup { names: 1, ..setup(2, 4, 27) });
     let line = |rig: &Rig, call: &str| {
         let console = rig.front(0).console;
-        let take = reedwalk_gateway::console::take(console, call, tokio::time::Instant::now() + SECOND);
+        let take = reedwalk_gateway::console::call(console, call, tokio::time::Instant::now() + SECOND);
         rig.runtime().block_on(take).unwrap()
     };
     rig.until("served once the name server has answered", SECOND, |r| {
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -43,8 +43,11 @@
 }
 
 pub fn both_fronts(engines: EngineWire) -> Operator {
-    let flight =
-        FlightFront { listen: "127.0.0.1:0".parse().unwrap(), connections: 16, message_most: 256 * 1024 };
+    let flight = FlightFront {
+        listen: "127.0.0.1:0".parse().unwrap(),
+        max_connections: 16,
+        max_message_bytes: 256 * 1024,
+    };
     Operator { flight: Some(flight), engines, ..Operator::default() }
 }
 
--- a/peers/examples/membership.rs
+++ b/gossip/examples/membership.rs
@@ -8,7 +8,7 @@
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use reedwalk_peers::{Act, Keys, Peers, Setup};
+use reedwalk_gossip::{GossipAction, GossipNode, NodeSetup, SigningKeys};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 use std::num::{NonZeroU32, NonZeroUsize};
@@ -27,42 +27,42 @@
     fn lives(&self, one: usize, other: usize, now: u64) -> bool;
 }
 
-struct Beats(Vec<Peers>);
+struct Beats(Vec<GossipNode>);
 
 const START: u64 = 1_700_000_000_000;
 
 impl Beats {
     fn new(count: usize) -> Self {
-        let setup = |me| Setup {
+        let setup = |me| NodeSetup {
             me,
             count,
-            bytes_most: 8192,
-            keys: Keys::default(),
-            beats: true,
+            max_bytes_per_second: 8192,
+            keys: SigningKeys::default(),
+            heartbeats: true,
             seed: u64::from(me),
         };
-        Self((0..count as u16).map(|me| Peers::new(setup(me), START)).collect())
+        Self((0..count as u16).map(|me| GossipNode::new(setup(me), START)).collect())
     }
 }
 
 impl Way for Beats {
     fn act(&mut self, one: usize, now: u64) -> Vec<(usize, Vec<u8>)> {
         let mut acts = Vec::new();
-        if now >= self.0[one].due() - START {
+        if now >= self.0[one].next_due() - START {
             self.0[one].act(START + now, &mut acts);
         }
         acts.into_iter()
-            .filter_map(|a| if let Act::Send(to, b) = a { Some((usize::from(to), b)) } else { None })
+            .filter_map(|a| if let GossipAction::Send(to, b) = a { Some((usize::from(to), b)) } else { None })
             .collect()
     }
 
     fn receive(&mut self, one: usize, from: usize, bytes: &[u8], now: u64) -> Vec<(usize, Vec<u8>)> {
-        let _ = self.0[one].receive(Some(from as u16), bytes, START + now);
+        let _ = self.0[one].on_datagram(Some(from as u16), bytes, START + now);
         Vec::new()
     }
 
     fn lives(&self, one: usize, other: usize, now: u64) -> bool {
-        self.0[one].lives(other as u16, START + now)
+        self.0[one].is_alive(other as u16, START + now)
     }
 }
 
--- /dev/null
+++ b/gossip/src/membership/tests.rs
@@ -0,0 +1,51 @@
+use super::*;
+
+const DEAD_AFTER: Millis = 5_000;
+
+#[test]
+fn the_dead_are_counted_out_slowly_and_the_living_in_at_once() {
+    let mut membership = Membership::new(0, 10, DEAD_AFTER, 0);
+    let heartbeats = |membership: &mut Membership, peers: std::ops::Range<PeerId>, now: Millis| {
+        peers.for_each(|p| _ = membership.record_heartbeat(p, now / 100 + 1, now));
+    };
+    let mut before = 10.0;
+    for now in (0..60_000).step_by(100) {
+        heartbeats(&mut membership, 1..3, now);
+        let counted = membership.assumed_live(now);
+        assert!(counted >= before * 0.98, "too fast: {before} to {counted}");
+        assert!(now >= DEAD_AFTER || counted == 10.0, "before anybody can be dead");
+        before = counted;
+    }
+    assert_eq!((membership.live_count(60_000), before), (3, 3.0));
+    heartbeats(&mut membership, 1..10, 60_000);
+    assert_eq!(membership.assumed_live(60_000), 10.0);
+}
+
+#[test]
+fn alone_it_assumes_a_share_of_the_configured_number() {
+    let mut membership = Membership::new(4, 20, DEAD_AFTER, 0);
+    assert_eq!(membership.assumed_live(600_000), 4.0);
+    assert_eq!(membership.live_count(600_000), 1);
+}
+
+#[test]
+fn nobody_can_be_declared_dead_and_a_heartbeat_from_the_future_is_refused() {
+    let mut membership = Membership::new(0, 3, DEAD_AFTER, 0);
+    assert!(!membership.record_heartbeat(1, 1_000_000, 1_000), "far ahead of our clock");
+    assert!(membership.record_heartbeat(1, 10, 1_000));
+    assert!(!membership.record_heartbeat(1, 5, 5_900), "an older sign is no news, and takes nothing away");
+    assert!(membership.is_alive(1, 5_999) && !membership.is_alive(1, 6_000));
+    assert!(
+        !membership.record_heartbeat(9, 1, 1) && !membership.record_heartbeat(0, 1, 1),
+        "no peer, and this one itself"
+    );
+}
+
+#[test]
+fn a_process_that_was_suspended_does_not_take_the_others_for_dead() {
+    let mut membership = Membership::new(0, 2, DEAD_AFTER, 0);
+    membership.record_heartbeat(1, 1, 100);
+    assert!(!membership.is_alive(1, 10_100));
+    membership.forgive_silence(10_000);
+    assert!(membership.is_alive(1, 10_100) && !membership.is_alive(1, 15_100));
+}
--- /dev/null
+++ b/gossip/src/observations/tests.rs
@@ -0,0 +1,106 @@
+//! What is made of how others see an engine.
+
+use super::*;
+
+const NOW: Millis = 1_700_000_000_000;
+const SECOND: u32 = 1_700_000_000;
+
+fn observations(count: u64, started: u32) -> Observations {
+    let mut observations = Observations::default();
+    observations.set_engines(&(0..count).map(|n| (EngineKey(n), started)).collect(), NOW);
+    observations
+}
+
+fn fact(engine: u64, kind: FactKind, started: u32, value: u8) -> Fact {
+    Fact { engine: EngineKey(engine), started, kind: kind.into(), ttl_centis: 300, value }
+}
+
+#[test]
+fn a_start_that_the_list_does_not_know_is_believed_of_two_and_by_the_earlier_of_theirs() {
+    let mut observations = observations(10, 7);
+    let cold = |started| fact(3, FactKind::Restarted, started, 0);
+    observations.on_fact(1, &cold(SECOND - 1), NOW);
+    observations.on_fact(1, &cold(SECOND), NOW);
+    assert_eq!(observations.new_shared(NOW), [], "one says so, twice");
+    observations.on_fact(2, &cold(SECOND - 1), NOW);
+    assert_eq!(observations.new_shared(NOW), [SharedObservation::Restarted(EngineKey(3), SECOND - 1)]);
+    assert_eq!(observations.new_shared(NOW), [], "said once");
+    for wrong in [7, 6, SECOND - 30, SECOND + 10] {
+        (4..8).for_each(|peer| observations.on_fact(peer, &fact(4, FactKind::Restarted, wrong, 0), NOW));
+    }
+    (4..8).for_each(|peer| observations.on_fact(peer, &fact(99, FactKind::Restarted, SECOND, 0), NOW));
+    assert_eq!(observations.new_shared(NOW), [], "known already, long over, to come, not listed");
+}
+
+#[test]
+fn of_half_of_the_engines_at_most_a_later_start_is_believed() {
+    let mut observations = observations(10, 7);
+    for peer in 1..3 {
+        (0..10).for_each(|e| observations.on_fact(peer, &fact(e, FactKind::Restarted, SECOND, 0), NOW));
+    }
+    assert_eq!(observations.new_shared(NOW).len(), 5);
+    assert_eq!(observations.new_shared(NOW + 1_000).len(), 0);
+}
+
+#[test]
+fn a_start_is_told_while_it_is_new_and_what_was_said_of_the_life_before_is_gone() {
+    let mut observations = observations(2, 7);
+    (1..4).for_each(|peer| observations.on_fact(peer, &fact(0, FactKind::Slow, 7, 80), NOW));
+    observations.set_engines(&BTreeMap::from([(EngineKey(0), SECOND), (EngineKey(1), SECOND + 100)]), NOW);
+    assert_eq!(observations.new_shared(NOW), []);
+    let said = observations.next_facts(8, NOW + 100);
+    assert_eq!(
+        said.iter().map(|f| (f.engine.0, f.kind)).collect::<Vec<_>>(),
+        [(0, FactKind::Restarted.into())]
+    );
+    assert_eq!(observations.next_facts(8, NOW + RESTART_TTL), []);
+}
+
+#[test]
+fn only_what_stands_out_is_told_as_slow_and_the_one_in_the_middle_holds() {
+    let mut observations = observations(4, 7);
+    let seen = |engine, slowdown| OwnObservation { engine: EngineKey(engine), slowdown, threads: 0.5 };
+    observations.set_own(&[seen(0, Some(1.0)), seen(1, Some(1.2)), seen(2, Some(4.0)), seen(3, None)], NOW);
+    let said: Vec<_> = observations
+        .next_facts(20, NOW)
+        .iter()
+        .filter(|f| f.kind == 4)
+        .map(|f| (f.engine.0, f.value))
+        .collect();
+    assert_eq!(said, [(2, 64)]);
+    assert_eq!(observations.next_facts(20, NOW).len(), 5, "and four that it uses");
+    assert_eq!(observations.next_facts(20, NOW + OBSERVATION_TTL), []);
+    observations.on_fact(1, &fact(2, FactKind::Slow, 7, 255), NOW);
+    assert_eq!(observations.new_shared(NOW), []);
+    observations.on_fact(2, &fact(2, FactKind::Slow, 7, 32), NOW);
+    assert_eq!(
+        observations.new_shared(NOW),
+        [SharedObservation::Slow(EngineKey(2), 2.0)],
+        "who exaggerates moves nothing"
+    );
+    observations.on_fact(3, &fact(2, FactKind::Slow, 7, 48), NOW + 10);
+    assert_eq!(observations.new_shared(NOW + 10), [], "a moment ago");
+    assert_eq!(observations.new_shared(NOW + REPORT_INTERVAL), [SharedObservation::Slow(EngineKey(2), 3.0)]);
+    observations.forget(1);
+    assert_eq!(
+        observations.new_shared(NOW + 2 * REPORT_INTERVAL),
+        [SharedObservation::Slow(EngineKey(2), 2.0)]
+    );
+    assert_eq!(observations.new_shared(NOW + OBSERVATION_TTL + 20), []);
+}
+
+#[test]
+fn what_others_use_is_reckoned_from_a_few_and_all_stays_bounded() {
+    let mut observations = observations(20, 7);
+    for peer in 0..300 {
+        for engine in 0..20 {
+            for (kind, value) in [(FactKind::ThreadUse, 8), (FactKind::Slow, 40), (FactKind::Restarted, 0)] {
+                let started = if kind == FactKind::Restarted { SECOND } else { 7 };
+                observations.on_fact(peer, &fact(engine, kind, started, value), NOW);
+            }
+        }
+    }
+    assert!(observations.entry_count() <= 20 * (1 + 3 * MAX_REPORTS), "{}", observations.entry_count());
+    assert_eq!(observations.threads_in_use(EngineKey(3), 300, NOW), Some(150.0));
+    assert_eq!(observations.threads_in_use(EngineKey(3), 300, NOW + OBSERVATION_TTL), None);
+}
--- a/peers/tests/fleet.rs
+++ b/gossip/tests/fleet.rs
@@ -3,8 +3,9 @@
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use reedwalk_peers::{
-    Act, BadDatagram, Datagram, EngineKey, Fact, Key, Keys, Kind, Peers, Seen, Setup, View, dead_after,
+use reedwalk_gossip::{
+    Datagram, DatagramError, EngineKey, Fact, FactKind, GossipAction, GossipNode, NodeSetup, OwnObservation,
+    SharedObservation, SigningKey, SigningKeys, dead_after,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,17 +16,19 @@
     (0..20).map(|n| (EngineKey(n), 0)).collect()
 }
 
-fn one(me: u16, count: usize, now: u64, keys: Keys) -> Peers {
-    let mut peers =
-        Peers::new(Setup { me, count, bytes_most: BYTES, keys, beats: true, seed: u64::from(me) + 1 }, now);
-    peers.engines(&listed(), now);
+fn one(me: u16, count: usize, now: u64, keys: SigningKeys) -> GossipNode {
+    let mut peers = GossipNode::new(
+        NodeSetup { me, count, max_bytes_per_second: BYTES, keys, heartbeats: true, seed: u64::from(me) + 1 },
+        now,
+    );
+    peers.set_engines(&listed(), now);
     peers
 }
 
 /// A fleet in steps of 10 ms. Datagrams take 1 to 60 ms; a share is lost.
 struct Fleet {
     now: u64,
-    all: Vec<Option<Peers>>,
+    all: Vec<Option<GossipNode>>,
     under_way: BTreeMap<(u64, u64), (u16, u16, Vec<u8>)>,
     number: u64,
     loss: f64,
@@ -40,7 +43,7 @@
     fn new(count: usize, loss: f64, seed: u64) -> Self {
         Self {
             now: START,
-            all: (0..count).map(|n| Some(one(n as u16, count, START, Keys::default()))).collect(),
+            all: (0..count).map(|n| Some(one(n as u16, count, START, SigningKeys::default()))).collect(),
             under_way: BTreeMap::new(),
             number: 0,
             loss,
@@ -56,7 +59,7 @@
         while let Some(first) = self.under_way.first_entry().filter(|e| e.key().0 <= self.now) {
             let (from, to, bytes) = first.remove();
             if let Some(peer) = &mut self.all[usize::from(to)] {
-                let _ = peer.receive(Some(from), &bytes, self.now);
+                let _ = peer.on_datagram(Some(from), &bytes, self.now);
             }
         }
         let mut acts = Vec::new();
@@ -65,7 +68,7 @@
             peer.act(self.now, &mut acts);
             for act in acts.drain(..) {
                 match act {
-                    Act::Send(to, bytes) => {
+                    GossipAction::Send(to, bytes) => {
                         assert!(bytes.len() <= 256);
                         self.sent[n] += bytes.len() as u64;
                         if self.rng.random::<f64>() >= self.loss {
@@ -74,13 +77,17 @@
                             self.under_way.insert((at, self.number), (n as u16, to, bytes));
                         }
                     }
-                    Act::Hear(belief) => {
+                    GossipAction::Ejected(belief) => {
                         assert!(belief.until > self.now && belief.until <= self.now + 10_000);
                         self.heard[n].insert(belief.engine);
                     }
-                    Act::Look(View::Restarted(engine, _)) => _ = self.views[n].0.insert(engine),
-                    Act::Look(View::Slow(engine, _)) => _ = self.views[n].1.insert(engine),
-                    Act::Living(count) => assert!(count >= 0.2 * self.sent.len() as f64),
+                    GossipAction::Observed(SharedObservation::Restarted(engine, _)) => {
+                        _ = self.views[n].0.insert(engine)
+                    }
+                    GossipAction::Observed(SharedObservation::Slow(engine, _)) => {
+                        _ = self.views[n].1.insert(engine)
+                    }
+                    GossipAction::LiveGateways(count) => assert!(count >= 0.2 * self.sent.len() as f64),
                 }
             }
         }
@@ -97,7 +104,7 @@
     fn false_alarms(&self) -> usize {
         let living: Vec<_> =
             self.all.iter().enumerate().filter(|p| p.1.is_some()).map(|p| p.0 as u16).collect();
-        let wrong = |p: &Peers| living.iter().filter(|n| !p.lives(**n, self.now)).count();
+        let wrong = |p: &GossipNode| living.iter().filter(|n| !p.is_alive(**n, self.now)).count();
         self.all.iter().flatten().map(wrong).sum()
     }
 
@@ -105,7 +112,7 @@
     fn notice(&mut self, dead: u16) -> u64 {
         let since = self.now;
         self.all[usize::from(dead)] = None;
-        while self.all.iter().flatten().any(|p| p.lives(dead, self.now)) {
+        while self.all.iter().flatten().any(|p| p.is_alive(dead, self.now)) {
             self.step();
             assert!(self.now < since + 30_000, "never noticed");
         }
@@ -141,7 +148,12 @@
         fleet.run(3_000);
         let now = fleet.now;
         let mut find = |n: usize, engine| {
-            fleet.all[n].as_mut().unwrap().find(EngineKey(engine), Kind::Fails, now + 4_000, now)
+            fleet.all[n].as_mut().unwrap().report_outlier(
+                EngineKey(engine),
+                FactKind::Failing,
+                now + 4_000,
+                now,
+            )
         };
         find(3, 7);
         find(9, 7);
@@ -171,11 +183,12 @@
             for (n, peer) in fleet.all.iter_mut().enumerate() {
                 let peer = peer.as_mut().unwrap();
                 if n % 2 == 0 {
-                    peer.engines(&restarted, now);
+                    peer.set_engines(&restarted, now);
                 }
                 let slow = |e: u64| (e != 5 || n % 2 == 1).then_some(if e == 5 { 6.0 } else { 1.1 });
-                let seen = (0..20).map(|e| Seen { engine: EngineKey(e), slowdown: slow(e), threads: 0.5 });
-                peer.see(&seen.collect::<Vec<_>>(), now);
+                let seen =
+                    (0..20).map(|e| OwnObservation { engine: EngineKey(e), slowdown: slow(e), threads: 0.5 });
+                peer.set_observations(&seen.collect::<Vec<_>>(), now);
             }
             fleet.run(200);
             let of = |n: usize, e: u64| {
@@ -196,80 +209,94 @@
 
 #[test]
 fn without_signs_of_life_news_alone_is_told_and_nobody_is_taken_for_dead() {
-    let setup = |me| Setup { me, count: 3, bytes_most: BYTES, keys: Keys::default(), beats: false, seed: 1 };
-    let mut peer = Peers::new(setup(0), START);
-    peer.engines(&listed(), START);
+    let setup = |me| NodeSetup {
+        me,
+        count: 3,
+        max_bytes_per_second: BYTES,
+        keys: SigningKeys::default(),
+        heartbeats: false,
+        seed: 1,
+    };
+    let mut peer = GossipNode::new(setup(0), START);
+    peer.set_engines(&listed(), START);
     let mut acts = Vec::new();
     (0..60_000).step_by(50).for_each(|ms| peer.act(START + ms, &mut acts));
-    assert_eq!((acts.len(), peer.living(START + 60_000)), (0, 3));
+    assert_eq!((acts.len(), peer.live_count(START + 60_000)), (0, 3));
     let now = START + 60_000;
-    peer.find(EngineKey(1), Kind::Fails, now + 1_000, now);
+    peer.report_outlier(EngineKey(1), FactKind::Failing, now + 1_000, now);
     (0..1_000).for_each(|ms| peer.act(now + ms, &mut acts));
-    let told: BTreeSet<_> =
-        acts.iter().filter_map(|a| if let Act::Send(to, _) = a { Some(*to) } else { None }).collect();
+    let told: BTreeSet<_> = acts
+        .iter()
+        .filter_map(|a| if let GossipAction::Send(to, _) = a { Some(*to) } else { None })
+        .collect();
     assert_eq!(told, BTreeSet::from([1, 2]));
 }
 
 #[test]
 fn old_words_of_a_life_before_are_not_taken() {
-    let (mut old, mut other) = (one(0, 3, START, Keys::default()), one(1, 3, START, Keys::default()));
+    let (mut old, mut other) =
+        (one(0, 3, START, SigningKeys::default()), one(1, 3, START, SigningKeys::default()));
     let mut acts = Vec::new();
-    let mut sent = |peer: &mut Peers, now: u64| {
+    let mut sent = |peer: &mut GossipNode, now: u64| {
         for at in now..now + 2_000 {
             peer.act(at, &mut acts);
             let found = acts
                 .drain(..)
-                .find_map(|a| if let Act::Send(1, bytes) = a { Some((bytes, at)) } else { None });
+                .find_map(|a| if let GossipAction::Send(1, bytes) = a { Some((bytes, at)) } else { None });
             if let Some(found) = found {
                 return found;
             }
         }
         panic!("nothing was sent");
     };
-    old.find(EngineKey(1), Kind::Fails, START + 9_000, START);
+    old.report_outlier(EngineKey(1), FactKind::Failing, START + 9_000, START);
     let (first, at) = sent(&mut old, START);
     let (second, _) = sent(&mut old, at + 1);
     let now = at + 600;
-    assert_eq!(other.receive(Some(0), &second, now), Ok(()));
-    assert_eq!(other.receive(Some(0), &second, now), Err(BadDatagram::Stale), "again");
-    assert_eq!(other.receive(Some(0), &first, now), Err(BadDatagram::Stale), "overtaken");
-    assert_eq!(other.receive(Some(2), &first, now), Err(BadDatagram::Stranger), "from another's address");
-    assert_eq!(other.receive(None, &first, now), Err(BadDatagram::Stranger));
-    assert_eq!(other.receive(Some(1), &first, now), Err(BadDatagram::Stranger), "this one itself");
-    let mut new = one(0, 3, now, Keys::default());
+    assert_eq!(other.on_datagram(Some(0), &second, now), Ok(()));
+    assert_eq!(other.on_datagram(Some(0), &second, now), Err(DatagramError::Stale), "again");
+    assert_eq!(other.on_datagram(Some(0), &first, now), Err(DatagramError::Stale), "overtaken");
+    assert_eq!(
+        other.on_datagram(Some(2), &first, now),
+        Err(DatagramError::UnknownSender),
+        "from another's address"
+    );
+    assert_eq!(other.on_datagram(None, &first, now), Err(DatagramError::UnknownSender));
+    assert_eq!(other.on_datagram(Some(1), &first, now), Err(DatagramError::UnknownSender), "this one itself");
+    let mut new = one(0, 3, now, SigningKeys::default());
     let (word, at) = sent(&mut new, now);
-    assert_eq!(other.receive(Some(0), &word, at), Ok(()));
+    assert_eq!(other.on_datagram(Some(0), &word, at), Ok(()));
     let (late, _) = sent(&mut old, at + 100);
-    assert_eq!(other.receive(Some(0), &late, at + 200), Err(BadDatagram::Stale), "of the life before");
+    assert_eq!(other.on_datagram(Some(0), &late, at + 200), Err(DatagramError::Stale), "of the life before");
     // Held back for longer than anything is good for, or of a clock far ahead.
-    let mut fresh = one(2, 3, at + 60_000, Keys::default());
-    assert_eq!(fresh.receive(Some(0), &word, at + 60_000), Err(BadDatagram::Stale));
-    let mut early = one(2, 3, START - 60_000, Keys::default());
-    assert_eq!(early.receive(Some(0), &word, START - 60_000), Err(BadDatagram::Future));
-    let tally = other.tally();
-    assert_eq!((tally.taken, tally.stale, tally.stranger), (2, 3, 3));
+    let mut fresh = one(2, 3, at + 60_000, SigningKeys::default());
+    assert_eq!(fresh.on_datagram(Some(0), &word, at + 60_000), Err(DatagramError::Stale));
+    let mut early = one(2, 3, START - 60_000, SigningKeys::default());
+    assert_eq!(early.on_datagram(Some(0), &word, START - 60_000), Err(DatagramError::Future));
+    let counters = other.counters();
+    assert_eq!((counters.accepted, counters.stale, counters.unknown_sender), (2, 3, 3));
 }
 
 #[test]
 fn an_origin_that_restarts_takes_back_what_it_said() {
-    let keys = Keys::default();
+    let keys = SigningKeys::default();
     let mut peer = one(0, 4, START, keys.clone());
-    let fact = Fact { engine: EngineKey(1), started: 0, kind: 0, left: 900, much: 0 };
-    let say = |peer: &mut Peers, from: u16, born: u64, at: u64, facts: Vec<Fact>| {
-        let datagram = Datagram { from, born, sent: at * 1000, facts, beats: Vec::new() };
-        peer.receive(Some(from), &keys.seal(&datagram), at)
+    let fact = Fact { engine: EngineKey(1), started: 0, kind: 0, ttl_centis: 900, value: 0 };
+    let say = |peer: &mut GossipNode, from: u16, incarnation: u64, at: u64, facts: Vec<Fact>| {
+        let datagram = Datagram { from, incarnation, sent: at * 1000, facts, heartbeats: Vec::new() };
+        peer.on_datagram(Some(from), &keys.seal(&datagram), at)
     };
     assert_eq!(say(&mut peer, 1, START, START + 10, vec![fact]), Ok(()));
     assert_eq!(say(&mut peer, 2, START, START + 10, vec![fact]), Ok(()));
-    assert_eq!(peer.believed(START + 20), 1);
+    assert_eq!(peer.ejected_count(START + 20), 1);
     assert_eq!(say(&mut peer, 2, START + 30, START + 40, Vec::new()), Ok(()));
-    assert_eq!(peer.believed(START + 50), 0, "it has not found that in this life");
+    assert_eq!(peer.ejected_count(START + 50), 0, "it has not found that in this life");
     // The same of what it saw.
-    let slow = Fact { kind: Kind::Slow.into(), much: 80, ..fact };
-    let looks = |peer: &mut Peers, at: u64| {
+    let slow = Fact { kind: FactKind::Slow.into(), value: 80, ..fact };
+    let looks = |peer: &mut GossipNode, at: u64| {
         let mut acts = Vec::new();
         peer.act(at, &mut acts);
-        acts.iter().filter(|a| matches!(a, Act::Look(_))).count()
+        acts.iter().filter(|a| matches!(a, GossipAction::Observed(_))).count()
     };
     assert_eq!(say(&mut peer, 1, START, START + 60, vec![slow]), Ok(()));
     assert_eq!(say(&mut peer, 1, START + 70, START + 80, Vec::new()), Ok(()));
@@ -281,32 +308,36 @@
 
 #[test]
 fn who_sends_more_than_any_may_is_not_read_any_further() {
-    let keys = Keys(vec![Key::new(&[5; 32]).unwrap()]);
+    let keys = SigningKeys(vec![SigningKey::new(&[5; 32]).unwrap()]);
     let mut peer = one(1, 3, START, keys.clone());
     for n in 0..10_000 {
-        let _ = peer.receive(Some(2), &[1; 100], START + n / 10);
+        let _ = peer.on_datagram(Some(2), &[1; 100], START + n / 10);
     }
-    let tally = peer.tally();
-    assert!(tally.forged <= 401 && tally.flood >= 9_599, "{tally:?}");
-    let sound =
-        keys.seal(&Datagram { from: 0, born: START, sent: (START + 1_000) * 1000, ..Datagram::default() });
-    assert_eq!(peer.receive(Some(0), &sound, START + 1_000), Ok(()), "others are heard as before");
+    let counters = peer.counters();
+    assert!(counters.bad_signature <= 401 && counters.rate_limited >= 9_599, "{counters:?}");
+    let sound = keys.seal(&Datagram {
+        from: 0,
+        incarnation: START,
+        sent: (START + 1_000) * 1000,
+        ..Datagram::default()
+    });
+    assert_eq!(peer.on_datagram(Some(0), &sound, START + 1_000), Ok(()), "others are heard as before");
 }
 
 #[test]
 fn what_is_found_in_the_moment_after_a_sleep_is_kept_back() {
-    let mut peer = one(1, 3, START, Keys::default());
+    let mut peer = one(1, 3, START, SigningKeys::default());
     let mut acts = Vec::new();
     (0..1_000).for_each(|ms| peer.act(START + ms, &mut acts));
     let woken = START + 11_000;
-    peer.find(EngineKey(3), Kind::Silent, woken + 4_000, woken);
+    peer.report_outlier(EngineKey(3), FactKind::Silent, woken + 4_000, woken);
     peer.act(woken + 500, &mut acts);
-    peer.find(EngineKey(4), Kind::Silent, woken + 4_000, woken + 900);
-    assert_eq!((peer.tally().kept_back, peer.tally().found), (2, 0));
-    assert_eq!(peer.living(woken + 900), 3, "it was deaf, they were not silent");
+    peer.report_outlier(EngineKey(4), FactKind::Silent, woken + 4_000, woken + 900);
+    assert_eq!((peer.counters().suppressed_reports, peer.counters().own_reports), (2, 0));
+    assert_eq!(peer.live_count(woken + 900), 3, "it was deaf, they were not silent");
     peer.act(woken + 1_000, &mut acts);
-    peer.find(EngineKey(3), Kind::Silent, woken + 9_000, woken + 1_100);
-    assert_eq!(peer.tally().found, 1);
+    peer.report_outlier(EngineKey(3), FactKind::Silent, woken + 9_000, woken + 1_100);
+    assert_eq!(peer.counters().own_reports, 1);
 }
 
 /// Nothing but a table: who said what of which engine, until when.
@@ -328,32 +359,32 @@
         facts in proptest::collection::vec((1u16..7, 0u64..4, 0u8..4, 100u16..900), 1..40),
         order in proptest::collection::vec(any::<prop::sample::Index>(), 0..120),
     ) {
-        let keys = Keys::default();
+        let keys = SigningKeys::default();
         let mut peer = one(0, 8, START, keys.clone());
         // Each origin says its latest word on each engine in every datagram.
         let mut said: BTreeMap<u16, BTreeMap<u64, Fact>> = BTreeMap::new();
         let mut datagrams = Vec::new();
         for (n, (from, engine, kind, left)) in facts.into_iter().enumerate() {
             let own = said.entry(from).or_default();
-            own.insert(engine, Fact { engine: EngineKey(engine), started: 0, kind, left, much: 0 });
+            own.insert(engine, Fact { engine: EngineKey(engine), started: 0, kind, ttl_centis: left, value: 0 });
             let sent = (START + 10 + n as u64) * 1000;
             let facts = own.values().copied().collect();
-            datagrams.push((from, Datagram { from, born: START, sent, facts, beats: Vec::new() }));
+            datagrams.push((from, Datagram { from, incarnation: START, sent, facts, heartbeats: Vec::new() }));
         }
         let now = START + 100;
         for index in &order {
             let (from, datagram) = index.get(&datagrams);
-            let _ = peer.receive(Some(*from), &keys.seal(datagram), now);
-            prop_assert!(peer.held() <= 8 + 8 + 20 * 9 + 20 * 25);
+            let _ = peer.on_datagram(Some(*from), &keys.seal(datagram), now);
+            prop_assert!(peer.entry_count() <= 8 + 8 + 20 * 9 + 20 * 25);
         }
         // The last of each origin comes in the end.
         let mut plain = Plain::default();
         for (from, own) in &said {
             let last = datagrams.iter().rfind(|d| d.0 == *from).unwrap();
-            let _ = peer.receive(Some(*from), &keys.seal(&last.1), now);
+            let _ = peer.on_datagram(Some(*from), &keys.seal(&last.1), now);
             for fact in own.values().filter(|f| f.kind < 3) {
                 let weight = if fact.kind == 2 { 0.5 } else { 1.0 };
-                plain.0.insert((fact.engine, *from), (weight, now + u64::from(fact.left) * 10));
+                plain.0.insert((fact.engine, *from), (weight, now + u64::from(fact.ttl_centis) * 10));
             }
         }
         // An older word on an engine may have been heard of a kind that the last one is not known to be.
@@ -361,7 +392,7 @@
         if known {
             for at in [now + 1, now + 2_000, now + 5_000, now + 9_000] {
                 let believed = (0..4).filter(|e| plain.believes(EngineKey(*e), at)).count();
-                prop_assert_eq!(peer.believed(at), believed, "at {}", at - now);
+                prop_assert_eq!(peer.ejected_count(at), believed, "at {}", at - now);
             }
         }
     }
@@ -369,20 +400,20 @@
     /// Whatever comes in, nothing panics and nothing of it is taken for more than it is.
     #[test]
     fn any_bytes_are_taken_or_turned_down(bytes in proptest::collection::vec(any::<u8>(), 0..300), from in 0u16..9) {
-        let mut peer = one(0, 8, START, Keys::default());
-        let _ = peer.receive(Some(from), &bytes, START);
-        let sealed = Keys::default().open(&bytes);
+        let mut peer = one(0, 8, START, SigningKeys::default());
+        let _ = peer.on_datagram(Some(from), &bytes, START);
+        let sealed = SigningKeys::default().open(&bytes);
         prop_assert!(sealed.is_err() || bytes.len() <= 256);
-        prop_assert_eq!(peer.believed(START), 0);
+        prop_assert_eq!(peer.ejected_count(START), 0);
     }
 
     /// Any datagram that can be written is read as it was.
     #[test]
-    fn what_is_written_is_read(from in any::<u16>(), born in any::<u64>(), sent in any::<u64>(),
+    fn what_is_written_is_read(from in any::<u16>(), incarnation in any::<u64>(), sent in any::<u64>(),
         facts in proptest::collection::vec((any::<u64>(), any::<u32>(), any::<u8>(), any::<u16>()), 0..6)) {
-        let facts = facts.into_iter().map(|(engine, started, kind, left)| Fact { engine: EngineKey(engine), started, kind, left, much: 0 });
-        let datagram = Datagram { from, born, sent, facts: facts.collect(), beats: Vec::new() };
-        let keys = Keys(vec![Key::new(&[3; 32]).unwrap()]);
+        let facts = facts.into_iter().map(|(engine, started, kind, left)| Fact { engine: EngineKey(engine), started, kind, ttl_centis: left, value: 0 });
+        let datagram = Datagram { from, incarnation, sent, facts: facts.collect(), heartbeats: Vec::new() };
+        let keys = SigningKeys(vec![SigningKey::new(&[3; 32]).unwrap()]);
         prop_assert_eq!(keys.open(&keys.seal(&datagram)), Ok(datagram));
     }
 }
--- a/peers/tests/golden.rs
+++ b/gossip/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Datagrams between front ends as the program sent them before the names of its types changed: one with a fact of
 //! each kind, one with heartbeats, one with neither, each with a checksum and signed.
 
-use reedwalk_peers::{Beat, Datagram, EngineKey, Fact, Key, Keys, Kind};
+use reedwalk_gossip::{Datagram, EngineKey, Fact, FactKind, Heartbeat, SigningKey, SigningKeys};
 
 const GOLDEN: &str = include_str!("golden/datagrams.hex");
 
@@ -15,32 +15,43 @@
 }
 
 fn empty() -> Datagram {
-    Datagram { from: 299, born: 1_764_612_345_678, sent: 1_764_612_399_123_456, ..Datagram::default() }
+    Datagram { from: 299, incarnation: 1_764_612_345_678, sent: 1_764_612_399_123_456, ..Datagram::default() }
 }
 
 fn facts() -> Datagram {
-    let kinds = [Kind::Fails, Kind::Silent, Kind::Erred, Kind::Cold, Kind::Slow, Kind::Uses, Kind::Other(99)];
-    let fact = |(number, kind): (usize, Kind)| Fact {
+    let kinds = [
+        FactKind::Failing,
+        FactKind::Silent,
+        FactKind::AttemptFailed,
+        FactKind::Restarted,
+        FactKind::Slow,
+        FactKind::ThreadUse,
+        FactKind::Other(99),
+    ];
+    let fact = |(number, kind): (usize, FactKind)| Fact {
         engine: EngineKey::from(format!("s-{number}").as_str()),
         started: 1_764_600_000 + number as u32,
         kind: kind.into(),
-        left: 800 - number as u16,
-        much: 24 * number as u8,
+        ttl_centis: 800 - number as u16,
+        value: 24 * number as u8,
     };
     Datagram { facts: kinds.into_iter().enumerate().map(fact).collect(), ..empty() }
 }
 
 fn heartbeats() -> Datagram {
-    let beats =
-        vec![Beat { skip: 1, before: 0 }, Beat { skip: 255, before: 17 }, Beat { skip: 0, before: 255 }];
-    Datagram { beats, ..empty() }
+    let heartbeats = vec![
+        Heartbeat { skip: 1, age: 0 },
+        Heartbeat { skip: 255, age: 17 },
+        Heartbeat { skip: 0, age: 255 },
+    ];
+    Datagram { heartbeats, ..empty() }
 }
 
-fn datagrams() -> Vec<(Keys, Datagram)> {
-    let signed = || Keys(vec![Key::new(&[7; 32]).unwrap()]);
+fn datagrams() -> Vec<(SigningKeys, Datagram)> {
+    let signed = || SigningKeys(vec![SigningKey::new(&[7; 32]).unwrap()]);
     let mut all = Vec::new();
     for datagram in [empty(), facts(), heartbeats()] {
-        all.push((Keys::default(), datagram.clone()));
+        all.push((SigningKeys::default(), datagram.clone()));
         all.push((signed(), datagram));
     }
     all
--- a/cores/src/placement/tests.rs
+++ b/multicore/src/placement/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn shares_are_whole_and_spare_the_judge() {
-    for cores in 1..=CORES_MOST {
+    for cores in 1..=MAX_CORES {
         let shares = shares(cores);
         assert_eq!(shares.len(), cores);
         assert!((shares.iter().sum::<f64>() - 1.0).abs() < 1e-9);
--- a/cores/src/sync.rs
+++ b/multicore/src/sync.rs
@@ -1,4 +1,4 @@
-//! The one place that says whose atomics these are.
+//! The atomics of this package: those of the standard library, or loom's in the model check.
 
 #[cfg(feature = "loom")]
 pub use loom::sync::{
--- a/cores/tests/model.rs
+++ b/multicore/tests/model.rs
@@ -1,15 +1,15 @@
-//! Model checks of what several cores share, over all interleavings: `cargo test -p reedwalk-cores --features loom`.
+//! Model checks of what several cores share, over all interleavings: `cargo test -p reedwalk-multicore --features loom`.
 #![cfg(feature = "loom")]
 
 use loom::sync::Arc;
 use loom::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use loom::thread;
-use reedwalk_cores::{Fence, Fences, Ledger, Standing};
+use reedwalk_multicore::{DrainFence, DrainFences, EngineStanding, LoadTable};
 
 #[test]
 fn two_that_close_a_fence_at_once_leave_the_earlier_instant() {
     loom::model(|| {
-        let fence = Fence::default();
+        let fence = DrainFence::default();
         let closers: Vec<_> = [30, 10]
             .map(|at| {
                 let fence = fence.clone();
@@ -17,7 +17,7 @@
             })
             .into();
         closers.into_iter().for_each(|c| c.join().unwrap());
-        assert!(fence.open(9) && !fence.open(10));
+        assert!(fence.is_open(9) && !fence.is_open(10));
     });
 }
 
@@ -25,12 +25,12 @@
 #[test]
 fn no_write_follows_news_of_the_drain() {
     loom::model(|| {
-        let (fence, told) = (Fence::default(), Arc::new(AtomicBool::new(false)));
+        let (fence, told) = (DrainFence::default(), Arc::new(AtomicBool::new(false)));
         let writer = {
             let (fence, told) = (fence.clone(), told.clone());
             thread::spawn(move || {
                 let heard = told.load(Ordering::Acquire);
-                (heard, fence.open(50))
+                (heard, fence.is_open(50))
             })
         };
         fence.close(50);
@@ -45,20 +45,20 @@
 #[test]
 fn an_old_order_is_not_written_past_its_fence_though_its_engine_is_back() {
     loom::model(|| {
-        let mut fences = Fences::new(5);
-        let old = fences.take(&1, Standing::InService, 0);
+        let mut fences = DrainFences::new(5);
+        let old = fences.update(&1, EngineStanding::InService, 0);
         let clock = Arc::new(AtomicU64::new(0));
         let writer = {
             let (old, clock) = (old.clone(), clock.clone());
             thread::spawn(move || {
                 let now = clock.load(Ordering::Acquire);
-                (now, old.open(now))
+                (now, old.is_open(now))
             })
         };
-        fences.take(&1, Standing::Draining, 10);
-        let new = fences.take(&1, Standing::InService, 12);
+        fences.update(&1, EngineStanding::Draining, 10);
+        let new = fences.update(&1, EngineStanding::InService, 12);
         clock.store(20, Ordering::Release);
-        assert!(new.open(20));
+        assert!(new.is_open(20));
         let (now, wrote) = writer.join().unwrap();
         assert!(!(wrote && now >= 15));
     });
@@ -67,17 +67,17 @@
 #[test]
 fn a_ledger_counts_what_is_held_and_ends_at_none() {
     loom::model(|| {
-        let ledger = Ledger::new(vec![0.5, 0.5]);
+        let load_table = LoadTable::new(vec![0.5, 0.5]);
         let others: Vec<_> = (0..2)
             .map(|_| {
-                let ledger = ledger.clone();
+                let load_table = load_table.clone();
                 thread::spawn(move || {
-                    let held = ledger.place();
-                    assert!(ledger.held(held.core()) >= 1);
+                    let held = load_table.place();
+                    assert!(load_table.connections(held.core()) >= 1);
                 })
             })
             .collect();
         others.into_iter().for_each(|o| o.join().unwrap());
-        assert_eq!((ledger.held(0), ledger.held(1)), (0, 0));
+        assert_eq!((load_table.connections(0), load_table.connections(1)), (0, 0));
     });
 }
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -1,14 +1,14 @@
-//! A front end that comes back: what it had kept, what each thing is worth by its source and its age, and what it may do
-//! when. It makes no input or output and reads no clock: bytes come and go through [`keep::Files`], and every call is
-//! told the time, in milliseconds of the Unix clock.
+//! Decisions of a gateway that recovers from a restart: what it had persisted, what each fact is worth by its source and
+//! age, and what it may do in which start-up phase. No I/O and no clock: bytes come and go through
+//! [`snapshot_store::SnapshotFiles`], and every call is told the time, in milliseconds of the Unix clock.
 
-pub mod keep;
-pub mod keys;
-pub mod log;
-pub mod memory;
-pub mod record;
-pub mod stages;
+pub mod idempotency_keys;
+pub mod snapshot;
+pub mod snapshot_codec;
+pub mod snapshot_store;
+pub mod startup_phases;
 pub mod trust;
+pub mod write_ahead_log;
 
 /// Milliseconds of the Unix clock.
 pub type Millis = u64;
--- a/recovery/src/trust.rs
+++ b/recovery/src/trust.rs
@@ -1,118 +1,129 @@
-//! What a thing that was kept or is told may be used for. What protects is believed easily and given up late; what permits
-//! is believed late; what was learned is a prior that fresh evidence outweighs. One table, in the order of the design note.
+//! How far a fact that was stored or received may be relied on. A fact that forbids something is accepted easily and given
+//! up late; one that permits something is accepted late; a learned statistic is a prior that fresh samples outweigh. All of
+//! it is one table, in the order of the design note.
 
 use crate::Millis;
 
 /// What is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fact {
-    /// The operators have taken an engine out, or called it back.
-    Word,
-    /// An engine drains or is gone.
-    Drains,
-    /// An engine has started anew.
-    Started,
-    /// A keyed request may have run, in this group.
+    /// The operators have taken an engine out, or put it back.
+    Override,
+    /// An engine drains or has left.
+    Drained,
+    /// An engine has restarted.
+    Restarted,
+    /// A request with an idempotency key may have run, in this group.
     MayHaveRun,
-    /// Nothing of a keyed request can have run.
+    /// A request with an idempotency key surely never ran.
     NeverRan,
-    /// So much of a budget is spent.
-    Spent,
-    /// There is an engine, at this address.
+    /// A part of a budget is used up.
+    BudgetUsed,
+    /// An engine exists, at this address.
     Listed,
-    /// An engine fails or is silent.
-    Fails,
+    /// An engine fails or does not respond.
+    Failing,
     /// How long queries take, at an engine or of a class.
-    Pace,
+    Latency,
 }
 
-/// Who says so.
+/// Where a fact comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// Its own sound record.
+    /// The gateway's own valid snapshot.
     Disk,
-    /// So many other front ends, each by itself.
+    /// This number of other gateways, each independently.
     Peers(usize),
     /// The name server, or the configuration that the deployment writes at the start.
     NameServer,
     /// The shared store.
     Store,
-    /// What it has met itself in this life.
-    Eyes,
+    /// What it has observed itself since the start.
+    OwnObservation,
 }
 
-/// What speaks against it.
+/// What contradicts a fact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Against {
-    /// The engine's life is another one now, or the serial is earlier than one that is known.
-    pub overtaken: bool,
-    /// It is of a time that has not come, or the clock has gone back since.
+pub struct Contradictions {
+    /// It is of another incarnation of the engine, or of an earlier serial than one that is known.
+    pub superseded: bool,
+    /// It is of the future, or the clock has gone back since.
     pub clock: bool,
-    /// Its own fresh evidence says otherwise.
-    pub eyes: bool,
+    /// The gateway's own fresh observations differ.
+    pub observations: bool,
 }
 
-/// What may be done on it.
+/// How far a fact may be relied on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Use {
-    /// Nothing.
+pub enum Confidence {
+    /// Not at all.
     Nothing,
-    /// It counts as so much of an own sample, until there are own ones.
+    /// It counts as this part of an own sample, until there are own ones.
     Prior(f64),
-    /// It may keep from something, never allow anything.
+    /// It may forbid something, and never permit anything.
     Protects,
-    /// It may be acted on in full.
+    /// It may be relied on in full.
     Holds,
 }
 
-/// Peers that it takes where one alone could be wrong or lying.
-const SEVERAL: usize = 2;
-/// For so long a kept finding that an engine fails is worth leaving it alone.
-const FAILS_FOR: Millis = 10_000;
-/// For so long a kept pace is worth half of what it was, and so on.
-const PACE_HALVES: Millis = 600_000;
-/// Below this a prior is worth nothing.
-const PRIOR_LEAST: f64 = 0.05;
+/// Gateways that must report the same where one alone could be wrong.
+const MIN_PEERS: usize = 2;
+/// How long a stored outlier finding keeps its engine ejected.
+const FAILURE_TTL: Millis = 10_000;
+/// The weight of a stored latency halves in this time.
+const STATS_HALF_LIFE: Millis = 600_000;
+/// A prior below this weight is not used.
+const MIN_PRIOR: f64 = 0.05;
 
-/// What a fact from a source, so old, is worth. `window` is how long engines drop repeats.
-pub fn worth(fact: Fact, source: Source, age: Millis, window: Millis, against: Against) -> Use {
-    let several = |n: usize| n >= SEVERAL;
+/// How far a fact of this source and age may be relied on. `window` is how long engines deduplicate keys.
+pub fn confidence(
+    fact: Fact,
+    source: Source,
+    age: Millis,
+    window: Millis,
+    against: Contradictions,
+) -> Confidence {
+    let several = |n: usize| n >= MIN_PEERS;
     match (fact, source) {
-        // The operators' word stands above all else until it is called back.
-        (Fact::Word, Source::Disk | Source::Eyes) => Use::Holds,
-        (Fact::Word, _) => Use::Protects,
-        // A drain is never taken back but by a later life of the engine or a later list.
-        (Fact::Drains, _) if against.overtaken => Use::Nothing,
-        (Fact::Drains, Source::NameServer | Source::Eyes) => Use::Holds,
-        (Fact::Drains, _) => Use::Protects,
-        // A start may protect a warm engine for nothing; it never lets one go early.
-        (Fact::Started, Source::NameServer | Source::Eyes) => Use::Holds,
-        (Fact::Started, Source::Peers(n)) if !several(n) => Use::Nothing,
-        (Fact::Started, _) if against.clock || against.overtaken => Use::Nothing,
-        (Fact::Started, _) => Use::Protects,
-        // Inside its window a key is bound by whoever knows; a clock that is wrong makes it last, not end.
-        (Fact::MayHaveRun, _) if age > window && !against.clock => Use::Nothing,
-        (Fact::MayHaveRun, Source::Eyes | Source::Disk | Source::Store) => Use::Holds,
-        (Fact::MayHaveRun, Source::Peers(_) | Source::NameServer) => Use::Protects,
-        // That nothing ran permits a repeat elsewhere: only who was there can say so.
-        (Fact::NeverRan, Source::Eyes) => Use::Holds,
-        (Fact::NeverRan, _) => Use::Nothing,
-        (Fact::Spent, Source::Disk | Source::Store | Source::Eyes) => Use::Holds,
-        (Fact::Spent, _) => Use::Protects,
-        // To be on a list of one's own memory is not enough to be sent to once the name server has spoken.
-        (Fact::Listed, Source::NameServer) if !against.overtaken => Use::Holds,
-        (Fact::Listed, Source::Disk) if !against.overtaken && !against.eyes => Use::Prior(1.0),
-        (Fact::Listed, _) => Use::Nothing,
-        (Fact::Fails | Fact::Pace, _) if against.overtaken || against.eyes => Use::Nothing,
-        (Fact::Fails | Fact::Pace, Source::Eyes) => Use::Holds,
-        (Fact::Fails | Fact::Pace, _) if against.clock => Use::Nothing,
-        (Fact::Fails, Source::Peers(n)) if several(n) && age <= FAILS_FOR => Use::Protects,
-        (Fact::Fails, Source::Disk) if age <= FAILS_FOR => Use::Protects,
-        (Fact::Fails, _) => Use::Nothing,
-        (Fact::Pace, Source::Peers(n)) if !several(n) => Use::Nothing,
-        (Fact::Pace, _) => match 0.5f64.powf(age as f64 / PACE_HALVES as f64) {
-            weight if weight >= PRIOR_LEAST => Use::Prior(weight),
-            _ => Use::Nothing,
+        // An operator's override takes precedence over all else until it is withdrawn.
+        (Fact::Override, Source::Disk | Source::OwnObservation) => Confidence::Holds,
+        (Fact::Override, _) => Confidence::Protects,
+        // Only a later incarnation of the engine or a later list ends a drain.
+        (Fact::Drained, _) if against.superseded => Confidence::Nothing,
+        (Fact::Drained, Source::NameServer | Source::OwnObservation) => Confidence::Holds,
+        (Fact::Drained, _) => Confidence::Protects,
+        // A restart may protect a warm engine needlessly; it never ends a slow start early.
+        (Fact::Restarted, Source::NameServer | Source::OwnObservation) => Confidence::Holds,
+        (Fact::Restarted, Source::Peers(n)) if !several(n) => Confidence::Nothing,
+        (Fact::Restarted, _) if against.clock || against.superseded => Confidence::Nothing,
+        (Fact::Restarted, _) => Confidence::Protects,
+        // Inside its window a key is bound, whoever reports it; a wrong clock prolongs the window, and never ends it.
+        (Fact::MayHaveRun, _) if age > window && !against.clock => Confidence::Nothing,
+        (Fact::MayHaveRun, Source::OwnObservation | Source::Disk | Source::Store) => Confidence::Holds,
+        (Fact::MayHaveRun, Source::Peers(_) | Source::NameServer) => Confidence::Protects,
+        // That nothing ran permits a repeat elsewhere, so only an own observation counts.
+        (Fact::NeverRan, Source::OwnObservation) => Confidence::Holds,
+        (Fact::NeverRan, _) => Confidence::Nothing,
+        (Fact::BudgetUsed, Source::Disk | Source::Store | Source::OwnObservation) => Confidence::Holds,
+        (Fact::BudgetUsed, _) => Confidence::Protects,
+        // A stored endpoint is not enough to send to once the name server has answered.
+        (Fact::Listed, Source::NameServer) if !against.superseded => Confidence::Holds,
+        (Fact::Listed, Source::Disk) if !against.superseded && !against.observations => {
+            Confidence::Prior(1.0)
+        }
+        (Fact::Listed, _) => Confidence::Nothing,
+        (Fact::Failing | Fact::Latency, _) if against.superseded || against.observations => {
+            Confidence::Nothing
+        }
+        (Fact::Failing | Fact::Latency, Source::OwnObservation) => Confidence::Holds,
+        (Fact::Failing | Fact::Latency, _) if against.clock => Confidence::Nothing,
+        (Fact::Failing, Source::Peers(n)) if several(n) && age <= FAILURE_TTL => Confidence::Protects,
+        (Fact::Failing, Source::Disk) if age <= FAILURE_TTL => Confidence::Protects,
+        (Fact::Failing, _) => Confidence::Nothing,
+        (Fact::Latency, Source::Peers(n)) if !several(n) => Confidence::Nothing,
+        (Fact::Latency, _) => match 0.5f64.powf(age as f64 / STATS_HALF_LIFE as f64) {
+            weight if weight >= MIN_PRIOR => Confidence::Prior(weight),
+            _ => Confidence::Nothing,
         },
     }
 }
--- a/recovery/tests/crash.rs
+++ b/recovery/tests/crash.rs
@@ -2,13 +2,13 @@
 //! and nothing that was never written is.
 
 use proptest::prelude::*;
-use reedwalk_recovery::keep::{Files, Keeper, look};
-use reedwalk_recovery::memory::{EngineMemory, KeyMemory, Memory, Reached};
-use reedwalk_recovery::record::{self, Owner, Unsound};
+use reedwalk_recovery::snapshot::{EngineRecord, KeyProgress, KeyRecord, Snapshot};
+use reedwalk_recovery::snapshot_codec::{self, SnapshotError, SnapshotOwner};
+use reedwalk_recovery::snapshot_store::{SnapshotFiles, SnapshotStore, recover};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-const OWNER: Owner = Owner { host: 11, front: 22, settings: 33 };
+const OWNER: SnapshotOwner = SnapshotOwner { host: 11, gateway: 22, settings: 33 };
 const NOW: u64 = 1_700_000_000_000;
 
 /// What a disk makes of what was not synced when power goes.
@@ -67,7 +67,7 @@
     }
 }
 
-impl Files for Disk {
+impl SnapshotFiles for Disk {
     type Error = String;
 
     fn names(&self) -> Result<Vec<String>, String> {
@@ -141,29 +141,30 @@
     }
 }
 
-fn key(key: u64) -> KeyMemory {
-    KeyMemory { key, reached: Reached::Sent, group: Some(key % 3), sent: NOW + key }
+fn key(key: u64) -> KeyRecord {
+    KeyRecord { key, progress: KeyProgress::Sent, group: Some(key % 3), sent: NOW + key }
 }
 
-fn memory(keys: &[KeyMemory]) -> Memory {
-    let engine = |n| EngineMemory { id: format!("s-{n}"), started: n, slowdown: Some(1.25), away_until: 0 };
-    Memory {
+fn memory(keys: &[KeyRecord]) -> Snapshot {
+    let engine =
+        |n| EngineRecord { id: format!("s-{n}"), started: n, slowdown: Some(1.25), ejected_until: 0 };
+    Snapshot {
         written: NOW,
         serial: Some(7),
-        living: 4,
+        live_gateways: 4,
         engines: (0..3).map(engine).collect(),
         keys: keys.to_vec(),
-        ..Memory::default()
+        ..Snapshot::default()
     }
 }
 
 /// A life: records and keys in turn. Gives the keys that were promised.
-fn live(disk: &mut Disk, from: u64, rounds: u64) -> Vec<KeyMemory> {
-    let found = look(disk, OWNER, NOW);
-    let mut keeper = Keeper::new(disk, OWNER);
-    let (mut all, mut promised) = (found.memory.keys, Vec::new());
+fn live(disk: &mut Disk, from: u64, rounds: u64) -> Vec<KeyRecord> {
+    let found = recover(disk, OWNER, NOW);
+    let mut keeper = SnapshotStore::new(disk, OWNER);
+    let (mut all, mut promised) = (found.snapshot.keys, Vec::new());
     for round in 0..rounds {
-        if (keeper.wants_record() || round % 4 == 0) && keeper.save(disk, &memory(&all)).is_err() {
+        if (keeper.needs_snapshot() || round % 4 == 0) && keeper.save(disk, &memory(&all)).is_err() {
             continue;
         }
         let one = key(from + round);
@@ -175,12 +176,12 @@
     promised
 }
 
-fn holds(disk: &Disk, promised: &[KeyMemory], written: u64, what: &str) {
-    let found = look(disk, OWNER, NOW);
-    let missing: Vec<_> = promised.iter().filter(|p| !found.memory.keys.contains(p)).collect();
+fn holds(disk: &Disk, promised: &[KeyRecord], written: u64, what: &str) {
+    let found = recover(disk, OWNER, NOW);
+    let missing: Vec<_> = promised.iter().filter(|p| !found.snapshot.keys.contains(p)).collect();
     assert!(missing.is_empty(), "{what}: {missing:?} of {promised:?}, found {found:?}");
-    assert!(found.memory.keys.iter().all(|k| k.key < written), "{what}: never written");
-    let whole = found.memory.engines.len() == 3 || found.generation.is_none();
+    assert!(found.snapshot.keys.iter().all(|k| k.key < written), "{what}: never written");
+    let whole = found.snapshot.engines.len() == 3 || found.generation.is_none();
     assert!(whole, "{what}: {found:?}");
 }
 
@@ -241,7 +242,7 @@
     for at in 0..length {
         let mut bad = disk.clone();
         bad.files.get_mut(&number).unwrap().1[at] ^= 0x20;
-        let found = look(&bad, OWNER, NOW);
+        let found = recover(&bad, OWNER, NOW);
         assert_eq!(found.unused.len(), 1, "flipped at {at}: {found:?}");
         holds(&bad, &promised, 7, &format!("flipped at {at}"));
         let mut bad = disk.clone();
@@ -254,37 +255,38 @@
 
 #[test]
 fn what_is_not_ours_is_not_used_and_says_why() {
-    let bytes = record::write(OWNER, 4, &memory(&[key(1)]));
-    let read = |owner, now| record::read(&bytes).and_then(|r| record::ours(r, owner, now));
-    assert_eq!(read(OWNER, NOW).unwrap().memory, memory(&[key(1)]));
-    assert_eq!(read(Owner { host: 1, ..OWNER }, NOW), Err(Unsound::OtherHost));
-    assert_eq!(read(Owner { front: 1, ..OWNER }, NOW), Err(Unsound::OtherFront));
-    assert_eq!(read(Owner { settings: 1, ..OWNER }, NOW), Err(Unsound::OtherSettings));
-    assert_eq!(read(OWNER, NOW - 3_600_000), Err(Unsound::Future), "the clock has gone back");
+    let bytes = snapshot_codec::encode(OWNER, 4, &memory(&[key(1)]));
+    let read =
+        |owner, now| snapshot_codec::decode(&bytes).and_then(|r| snapshot_codec::check_owner(r, owner, now));
+    assert_eq!(read(OWNER, NOW).unwrap().snapshot, memory(&[key(1)]));
+    assert_eq!(read(SnapshotOwner { host: 1, ..OWNER }, NOW), Err(SnapshotError::OtherHost));
+    assert_eq!(read(SnapshotOwner { gateway: 1, ..OWNER }, NOW), Err(SnapshotError::OtherGateway));
+    assert_eq!(read(SnapshotOwner { settings: 1, ..OWNER }, NOW), Err(SnapshotError::OtherSettings));
+    assert_eq!(read(OWNER, NOW - 3_600_000), Err(SnapshotError::Future), "the clock has gone back");
     let mut later = bytes.clone();
     later[8] = 9;
-    assert_eq!(record::read(&later), Err(Unsound::Version(9)));
-    assert_eq!(record::read(b""), Err(Unsound::NoRecord));
+    assert_eq!(snapshot_codec::decode(&later), Err(SnapshotError::UnknownVersion(9)));
+    assert_eq!(snapshot_codec::decode(b""), Err(SnapshotError::NotASnapshot));
     // A length that makes no sense makes no room.
     let mut hostile = bytes[..10].to_vec();
     hostile.extend_from_slice(&[2, 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0]);
-    assert_eq!(record::read(&hostile), Err(Unsound::Cut));
+    assert_eq!(snapshot_codec::decode(&hostile), Err(SnapshotError::Truncated));
     // A copy under a later name is not that later one.
     let mut disk = Disk::default();
     disk.write("record-9", &bytes).unwrap();
-    let found = look(&disk, OWNER, NOW);
+    let found = recover(&disk, OWNER, NOW);
     assert_eq!((found.generation, found.unused.len()), (None, 1));
 }
 
 proptest! {
     #[test]
     fn any_bytes_are_a_record_or_none(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
-        prop_assert!(record::read(&bytes).is_err());
-        let mut ours = record::write(OWNER, 1, &memory(&[key(2)]));
+        prop_assert!(snapshot_codec::decode(&bytes).is_err());
+        let mut ours = snapshot_codec::encode(OWNER, 1, &memory(&[key(2)]));
         let at = bytes.first().copied().unwrap_or(0) as usize % ours.len();
         ours.splice(at.., bytes.iter().copied());
-        if let Ok(record) = record::read(&ours) {
-            prop_assert_eq!(record.memory, memory(&[key(2)]));
+        if let Ok(record) = snapshot_codec::decode(&ours) {
+            prop_assert_eq!(record.snapshot, memory(&[key(2)]));
         }
     }
 }
--- a/recovery/tests/golden.rs
+++ b/recovery/tests/golden.rs
@@ -1,19 +1,20 @@
 //! The snapshot folder as the program wrote it before the names of its types changed: bytes and file names stay.
 
-use reedwalk_recovery::keep::{Files, Keeper, look};
-use reedwalk_recovery::memory::{ClassMemory, EngineMemory, KeyMemory, Memory, Reached};
-use reedwalk_recovery::record::Owner;
+use reedwalk_recovery::snapshot::{ClassRecord, EngineRecord, KeyProgress, KeyRecord, Snapshot};
+use reedwalk_recovery::snapshot_codec::SnapshotOwner;
+use reedwalk_recovery::snapshot_store::{SnapshotFiles, SnapshotStore, recover};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
 
-const OWNER: Owner = Owner { host: 0x1122_3344_5566_7788, front: 0x99aa, settings: u64::MAX };
+const OWNER: SnapshotOwner =
+    SnapshotOwner { host: 0x1122_3344_5566_7788, gateway: 0x99aa, settings: u64::MAX };
 const WRITTEN_MS: u64 = 1_764_612_345_678;
 
 /// A folder in memory.
 #[derive(Default)]
 struct Folder(BTreeMap<String, Vec<u8>>);
 
-impl Files for Folder {
+impl SnapshotFiles for Folder {
     type Error = Infallible;
 
     fn names(&self) -> Result<Vec<String>, Infallible> {
@@ -64,43 +65,47 @@
     (0..digits.len()).step_by(2).map(byte).collect()
 }
 
-fn key(key: u64, reached: Reached, group: Option<u64>) -> KeyMemory {
-    KeyMemory { key, reached, group, sent: WRITTEN_MS - key }
+fn key(key: u64, reached: KeyProgress, group: Option<u64>) -> KeyRecord {
+    KeyRecord { key, progress: reached, group, sent: WRITTEN_MS - key }
 }
 
-fn snapshot() -> Memory {
-    Memory {
+fn snapshot() -> Snapshot {
+    Snapshot {
         written: WRITTEN_MS,
         serial: Some(4711),
-        living: 3,
+        live_gateways: 3,
         engines: vec![
-            EngineMemory { id: "s-00c41f7a".into(), started: 0, slowdown: None, away_until: 0 },
-            EngineMemory {
+            EngineRecord { id: "s-00c41f7a".into(), started: 0, slowdown: None, ejected_until: 0 },
+            EngineRecord {
                 id: "s-2".into(),
                 started: 1_764_600_000_000,
                 slowdown: Some(1.75),
-                away_until: 1_764_612_346_000,
+                ejected_until: 1_764_612_346_000,
             },
         ],
         classes: vec![
-            ClassMemory {
+            ClassRecord {
                 name: "lookup".into(),
                 exec: (8_250.5, 100.0),
                 best: None,
                 width: (7_000.25, 12.0),
             },
-            ClassMemory { name: "batch-post".into(), exec: (1.0, 2.0), best: Some(0.5), width: (0.0, 0.0) },
+            ClassRecord { name: "batch-post".into(), exec: (1.0, 2.0), best: Some(0.5), width: (0.0, 0.0) },
         ],
         keys: vec![
-            key(1, Reached::Sent, None),
-            key(2, Reached::Served, Some(0)),
-            key(3, Reached::NeverRan, Some(u64::MAX)),
+            key(1, KeyProgress::Sent, None),
+            key(2, KeyProgress::Served, Some(0)),
+            key(3, KeyProgress::NeverRan, Some(u64::MAX)),
         ],
     }
 }
 
-fn logged() -> Vec<KeyMemory> {
-    vec![key(4, Reached::Sent, Some(7)), key(5, Reached::Served, None), key(6, Reached::NeverRan, None)]
+fn logged() -> Vec<KeyRecord> {
+    vec![
+        key(4, KeyProgress::Sent, Some(7)),
+        key(5, KeyProgress::Served, None),
+        key(6, KeyProgress::NeverRan, None),
+    ]
 }
 
 fn golden() -> Folder {
@@ -112,7 +117,7 @@
 #[test]
 fn snapshot_folder_is_written_as_before() {
     let mut folder = Folder::default();
-    let mut keeper = Keeper::new(&folder, OWNER);
+    let mut keeper = SnapshotStore::new(&folder, OWNER);
     keeper.save(&mut folder, &snapshot()).unwrap();
     keeper.append(&mut folder, &logged()).unwrap();
     let written: Vec<_> = folder.0.iter().map(|(name, bytes)| (name, hex(bytes))).collect();
@@ -123,10 +128,10 @@
 
 #[test]
 fn snapshot_folder_of_the_version_before_is_read() {
-    let found = look(&golden(), OWNER, WRITTEN_MS + 1_000);
+    let found = recover(&golden(), OWNER, WRITTEN_MS + 1_000);
     assert_eq!((found.generation, found.entries, found.torn), (Some(1), 3, 0));
     assert_eq!(found.unused, []);
     let mut expected = snapshot();
     expected.keys.extend(logged());
-    assert_eq!(found.memory, expected);
+    assert_eq!(found.snapshot, expected);
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,6 +1,5 @@
-//! The settings object that a gateway is given at its start, read into the decision module's settings and
-//! the few figures that only sockets need. Unknown keys are ignored. The adapter and the gateway both read
-//! it here, so there is no second copy of it.
+//! The settings object of a deployment, read into the scheduler's settings and the values that only sockets need. Unknown
+//! keys are ignored. The gateway and the simulator's adapter both use this package, so that there is one reader of it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -9,18 +8,19 @@
 use std::fmt;
 use std::time::Duration;
 
-fn span(us: f64) -> Duration {
+/// A duration from microseconds.
+fn duration(us: f64) -> Duration {
     Duration::from_micros(us.clamp(0.0, 1e15) as u64)
 }
 
-/// A number, or what a NaN-like or negative one is read as.
-fn sound(x: f64) -> f64 {
-    if x.is_finite() { x.max(0.0) } else { 0.0 }
+/// A number of zero or more; NaN, infinite and negative numbers are read as 0.
+fn non_negative(number: f64) -> f64 {
+    if number.is_finite() { number.max(0.0) } else { 0.0 }
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Wire {
+struct SettingsObject {
     #[serde(default = "one")]
     balancers: u32,
     #[serde(default)]
@@ -31,15 +31,15 @@
     tick_us: f64,
     #[serde(default)]
     discovery: String,
-    request_classes: Vec<Class>,
+    request_classes: Vec<ClassObject>,
     #[serde(default)]
-    tenants: Vec<Tenant>,
+    tenants: Vec<TenantObject>,
     #[serde(default)]
-    limits: Allowances,
+    limits: LimitsObject,
     #[serde(default)]
-    rules: Figures,
+    rules: RulesObject,
     #[serde(default)]
-    specifics: Specifics,
+    specifics: SpecificsObject,
     #[serde(default)]
     over_share_worth: Option<f64>,
     #[serde(default)]
@@ -54,7 +54,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Class {
+struct ClassObject {
     #[serde(default)]
     name: String,
     slo_us: f64,
@@ -79,14 +79,14 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Tenant {
+struct TenantObject {
     #[serde(default)]
     quota_per_s: f64,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
-struct Allowances {
+struct LimitsObject {
     cancel: bool,
     probing: bool,
     max_attempts: Option<u32>,
@@ -102,7 +102,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
-struct Figures {
+struct RulesObject {
     answer_slack_us: Option<f64>,
     drain_grace_us: Option<f64>,
     cold_from: Option<f64>,
@@ -117,7 +117,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
-struct Specifics {
+struct SpecificsObject {
     is_load: Vec<bool>,
     class_waits: Vec<bool>,
     width_by_class: Vec<u32>,
@@ -145,7 +145,7 @@
     }
 }
 
-/// Names, in the order of the numbers that the decision module knows, and what only sockets need.
+/// The names behind the numbers that the scheduler uses, and the values that only sockets need.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sockets {
     /// Names of the classes.
@@ -154,26 +154,26 @@
     pub zones: Vec<String>,
     /// Names of the kinds of machine.
     pub kinds: Vec<String>,
-    /// A connection to an engine that is not up by then has failed.
-    pub connect_within: Duration,
-    /// Connections idle for so long are closed.
+    /// A connection to an engine that is not established in this time has failed.
+    pub connect_timeout: Duration,
+    /// Engines close connections that are idle for this long.
     pub keepalive: Duration,
-    /// Attempts that one connection carries.
+    /// Attempts in flight on one connection at most.
     pub multiplex: usize,
     /// Requests that may be open at once.
-    pub open_cap: usize,
-    /// Front ends may send one another messages; none where nothing is said of it.
-    pub may_tell: Option<bool>,
-    /// A request may have two attempts out at once; not where nothing is said of it.
+    pub max_open_requests: usize,
+    /// Whether gateways may send messages to each other; `None` where the settings do not say.
+    pub may_gossip: Option<bool>,
+    /// Whether a request may have two attempts in flight at once.
     pub second_copies: bool,
 }
 
-/// All that the settings object tells.
+/// The settings object, read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
-    /// For the decision module.
+    /// For the scheduler.
     pub core: Settings,
-    /// For the sockets around it.
+    /// For the sockets.
     pub sockets: Sockets,
 }
 
@@ -188,109 +188,109 @@
     }
 }
 
-/// A key's text as a number: FNV-1a, so that nothing need be kept for it.
+/// An idempotency key as a number (FNV-1a), so that its text need not be stored.
 pub fn key(text: &[u8]) -> KeyId {
     KeyId(text.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)))
 }
 
-/// Reads the object that comes with an instance's start.
+/// Reads the settings object.
 ///
 /// # Errors
-/// Where it is not the object that the wire page describes.
+/// Where it does not have the expected form.
 pub fn read(value: &serde_json::Value) -> Result<Deployment, ReadError> {
-    let wire = Wire::deserialize(value).map_err(ReadError)?;
+    let wire = SettingsObject::deserialize(value).map_err(ReadError)?;
     Ok(Deployment { core: core(&wire), sockets: sockets(wire) })
 }
 
-fn sockets(wire: Wire) -> Sockets {
+fn sockets(wire: SettingsObject) -> Sockets {
     let limits = wire.limits;
-    let told = |us: f64, usual: Duration| if us > 0.0 { span(us) } else { usual };
+    let duration_or = |us: f64, default: Duration| if us > 0.0 { duration(us) } else { default };
     Sockets {
         classes: wire.request_classes.into_iter().map(|c| c.name).collect(),
         zones: wire.localities,
         kinds: wire.host_types,
-        connect_within: told(limits.connect_timeout_us, Duration::from_millis(250)),
-        keepalive: told(limits.keepalive_us, Duration::from_secs(15)),
+        connect_timeout: duration_or(limits.connect_timeout_us, Duration::from_millis(250)),
+        keepalive: duration_or(limits.keepalive_us, Duration::from_secs(15)),
         multiplex: limits.multiplex.unwrap_or(1).max(1),
-        open_cap: limits.open_cap.unwrap_or(usize::MAX),
-        may_tell: limits.may_tell,
+        max_open_requests: limits.open_cap.unwrap_or(usize::MAX),
+        may_gossip: limits.may_tell,
         second_copies: limits.second_copies,
     }
 }
 
-fn core(wire: &Wire) -> Settings {
-    let own = &wire.specifics;
-    let classes = wire.request_classes.iter().enumerate().map(|(i, c)| class(i, c, own)).collect();
-    let kinds = own.size_cores.iter().enumerate().map(|(i, &cores)| KindSettings {
+fn core(wire: &SettingsObject) -> Settings {
+    let specifics = &wire.specifics;
+    let classes = wire.request_classes.iter().enumerate().map(|(i, c)| class(i, c, specifics)).collect();
+    let kinds = specifics.size_cores.iter().enumerate().map(|(i, &cores)| KindSettings {
         cores,
-        memory_mb: own.ram_of_kind_mb.get(i).copied().map_or(0.0, sound),
+        memory_mb: specifics.ram_of_kind_mb.get(i).copied().map_or(0.0, non_negative),
     });
     let mut settings = Settings::new(classes, kinds.collect());
     settings.gateways = wire.balancers;
     settings.ordinal = wire.ordinal;
     settings.zone = wire.zone.map(ZoneId);
-    settings.tick = span(wire.tick_us);
+    settings.tick = duration(wire.tick_us);
     settings.discovery = if wire.discovery == "ask" { Discovery::Subscribed } else { Discovery::Pushed };
     settings.tenants =
-        wire.tenants.iter().map(|t| TenantSettings { quota_per_s: sound(t.quota_per_s) }).collect();
+        wire.tenants.iter().map(|t| TenantSettings { quota_per_s: non_negative(t.quota_per_s) }).collect();
     let limits = &wire.limits;
     settings.limits = Limits {
         cancel: limits.cancel,
         health_checks: limits.probing,
         max_attempts: limits.max_attempts.unwrap_or(u32::MAX),
-        max_retry_after: limits.retry_after.then(|| span(limits.max_retry_after_us)),
+        max_retry_after: limits.retry_after.then(|| duration(limits.max_retry_after_us)),
     };
-    let (rules, read) = (&mut settings.rules, &wire.rules);
+    let (rules, object) = (&mut settings.rules, &wire.rules);
     let times = [
-        (&mut rules.answer_slack, read.answer_slack_us),
-        (&mut rules.drain_grace, read.drain_grace_us),
-        (&mut rules.slow_start_duration, read.ramp_time_us),
-        (&mut rules.overload_window, read.fall_us),
-        (&mut rules.order_settle, read.order_settle_us),
+        (&mut rules.answer_slack, object.answer_slack_us),
+        (&mut rules.drain_grace, object.drain_grace_us),
+        (&mut rules.slow_start_duration, object.ramp_time_us),
+        (&mut rules.overload_window, object.fall_us),
+        (&mut rules.order_settle, object.order_settle_us),
     ];
-    for (field, told) in times {
-        *field = told.map_or(*field, span);
+    for (field, value) in times {
+        *field = value.map_or(*field, duration);
     }
-    rules.slow_start_from = read.cold_from.map_or(rules.slow_start_from, sound);
-    rules.overload_multiple = read.tip_multiple.map_or(rules.overload_multiple, sound);
-    rules.retry_budget = read.extra_window_us.map(|window| RetryBudget {
-        free: read.free_resends.map_or(0.0, sound),
-        ratio: read.extra_ratio.map_or(0.0, sound),
-        window: span(window),
+    rules.slow_start_from = object.cold_from.map_or(rules.slow_start_from, non_negative);
+    rules.overload_multiple = object.tip_multiple.map_or(rules.overload_multiple, non_negative);
+    rules.retry_budget = object.extra_window_us.map(|window| RetryBudget {
+        free: object.free_resends.map_or(0.0, non_negative),
+        ratio: object.extra_ratio.map_or(0.0, non_negative),
+        window: duration(window),
     });
     settings.engine = EngineTraits {
-        grants: own.grants,
-        priorities: own.priorities,
-        max_grant_share: own.max_grant_share.map_or(1.0, sound),
-        progress_interval: (own.progress_us > 0.0).then(|| span(own.progress_us)),
-        idle_timeout: (limits.keepalive_us > 0.0).then(|| span(limits.keepalive_us)),
+        grants: specifics.grants,
+        priorities: specifics.priorities,
+        max_grant_share: specifics.max_grant_share.map_or(1.0, non_negative),
+        progress_interval: (specifics.progress_us > 0.0).then(|| duration(specifics.progress_us)),
+        idle_timeout: (limits.keepalive_us > 0.0).then(|| duration(limits.keepalive_us)),
     };
-    settings.over_quota_weight = wire.over_share_worth.map_or(1.0, sound);
+    settings.over_quota_weight = wire.over_share_worth.map_or(1.0, non_negative);
     settings
 }
 
-fn class(place: usize, wire: &Class, own: &Specifics) -> ClassSettings {
+fn class(index: usize, wire: &ClassObject, specifics: &SpecificsObject) -> ClassSettings {
     let scope = match wire.dedup_scope.as_str() {
         "zone" => KeyScope::Zone,
         "cell" => KeyScope::Cell,
         _ => KeyScope::All,
     };
     ClassSettings {
-        latency_objective: span(wire.slo_us),
-        objective_stretch: sound(wire.aim_stretch),
-        deadline: span(wire.give_up_us),
-        priority_weight: sound(wire.value),
-        late_weight: sound(wire.late_value),
+        latency_objective: duration(wire.slo_us),
+        objective_stretch: non_negative(wire.aim_stretch),
+        deadline: duration(wire.give_up_us),
+        priority_weight: non_negative(wire.value),
+        late_weight: non_negative(wire.late_value),
         idempotency: match wire.effect.as_str() {
             "repeatable" => Idempotency::Idempotent,
-            "by_key" => Idempotency::Keyed { scope, window: span(wire.memory_span_us) },
+            "by_key" => Idempotency::Keyed { scope, window: duration(wire.memory_span_us) },
             _ => Idempotency::NonIdempotent,
         },
         in_order: wire.in_order,
         zones: wire.localities_open.as_ref().map(|z| z.iter().copied().map(ZoneId).collect()),
         kinds: wire.host_types_allowed.as_ref().map(|k| k.iter().copied().map(KindId).collect()),
-        threads: own.width_by_class.get(place).copied().unwrap_or(1),
-        is_load: own.is_load.get(place).copied().unwrap_or(false),
-        waits_for_loads: own.class_waits.get(place).copied().unwrap_or(false),
+        threads: specifics.width_by_class.get(index).copied().unwrap_or(1),
+        is_load: specifics.is_load.get(index).copied().unwrap_or(false),
+        waits_for_loads: specifics.class_waits.get(index).copied().unwrap_or(false),
     }
 }
--- /dev/null
+++ b/shared-store/src/quota_lease/tests.rs
@@ -0,0 +1,105 @@
+use super::*;
+use proptest::prelude::*;
+use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
+
+#[test]
+fn a_request_pays_from_the_lease_and_what_never_ran_is_paid_back() {
+    let (mut lease, now) = (QuotaLease::new(1600, 4, STORE_DOWN_SHARE), Instant::now());
+    let window = lease.advance_to(7);
+    assert_eq!(lease.charge(4, true, now), SpendResult::Lease(25));
+    lease.add_leased(window, 25, 25, now);
+    assert_eq!(lease.charge(4, true, now), SpendResult::Granted);
+    assert_eq!(lease.wanted_ahead(now), None);
+    assert_eq!(lease.charge(11, true, now), SpendResult::Granted);
+    assert_eq!(lease.wanted_ahead(now), Some(25));
+    lease.refund(window, 11);
+    assert_eq!(lease.charge(21, true, now), SpendResult::Granted);
+    assert_eq!(lease.charge(1601, true, now), SpendResult::Denied);
+}
+
+#[test]
+fn a_store_with_nothing_left_is_not_asked_at_once_again() {
+    let (mut lease, now) = (QuotaLease::new(100, 1, STORE_DOWN_SHARE), Instant::now());
+    let window = lease.advance_to(7);
+    lease.add_leased(window, 6, 2, now);
+    assert_eq!(lease.charge(3, true, now), SpendResult::Denied);
+    assert_eq!(lease.charge(2, true, now), SpendResult::Granted);
+    assert_eq!(lease.charge(3, true, now + EXHAUSTED_RETRY), SpendResult::Lease(6));
+}
+
+#[test]
+fn units_end_with_their_window_and_a_small_step_back_is_none() {
+    let (mut lease, now) = (QuotaLease::new(100, 1, STORE_DOWN_SHARE), Instant::now());
+    lease.advance_to(7);
+    lease.add_leased(6, 6, 6, now);
+    assert_eq!(lease.charge(1, true, now), SpendResult::Lease(6), "of a window that is over");
+    lease.add_leased(7, 6, 6, now);
+    assert_eq!(lease.advance_to(6), 7);
+    assert_eq!(lease.charge(1, true, now), SpendResult::Granted);
+    assert_eq!(lease.advance_to(8), 8);
+    assert_eq!(lease.charge(1, true, now), SpendResult::Lease(6));
+    assert_eq!(lease.advance_to(2), 2, "a clock that was set right");
+}
+
+#[test]
+fn what_nobody_draws_on_goes_back() {
+    let (mut lease, now) = (QuotaLease::new(100, 1, STORE_DOWN_SHARE), Instant::now());
+    let window = lease.advance_to(7);
+    lease.add_leased(window, 6, 6, now);
+    assert_eq!(lease.take_idle(now), None);
+    assert_eq!(lease.take_idle(now + IDLE_TIMEOUT), Some(6));
+    assert_eq!(lease.take_idle(now + IDLE_TIMEOUT), None);
+}
+
+proptest! {
+    #![proptest_config(Config {
+        rng_seed: RngSeed::Fixed(20_261_201),
+        rng_algorithm: RngAlgorithm::ChaCha,
+        failure_persistence: None,
+        ..Config::with_cases(256)
+    })]
+
+    /// Any order of spends, cuts, losses of answers, refunds and idle spells at several front ends.
+    #[test]
+    fn no_more_than_the_budget_and_half_of_it_is_granted_in_a_window(
+        budget in 1u64..400,
+        fronts in 1usize..6,
+        steps in prop::collection::vec((0usize..6, 0u8..10, 1u64..30, any::<bool>()), 1..400),
+    ) {
+        let mut now = Instant::now();
+        let mut leases = vec![QuotaLease::new(budget, fronts as u64, STORE_DOWN_SHARE); fronts];
+        let (mut store, mut granted) = (0u64, 0u64);
+        leases.iter_mut().for_each(|p| _ = p.advance_to(1));
+        for (front, what, amount, usable) in steps {
+            let lease = &mut leases[front % fronts];
+            now += Duration::from_millis(20);
+            match what {
+                0 => if let Some(units) = lease.take_idle(now) { store -= units },
+                1 => now += IDLE_TIMEOUT,
+                _ => match lease.charge(amount, usable, now) {
+                    SpendResult::Granted => {
+                        granted += amount;
+                        if what == 2 {
+                            lease.refund(1, amount);
+                            granted -= amount;
+                        }
+                    }
+                    SpendResult::Denied => {}
+                    SpendResult::Lease(wanted) => {
+                        let units = wanted.min(budget - store);
+                        store += units;
+                        // An answer that is lost is a lease that nobody has.
+                        if what != 3 {
+                            lease.add_leased(1, wanted, units, now);
+                            if lease.charge(amount, usable, now) == SpendResult::Granted {
+                                granted += amount;
+                            }
+                        }
+                    }
+                },
+            }
+        }
+        prop_assert!(store <= budget);
+        prop_assert!(granted as f64 <= budget as f64 * (1.0 + STORE_DOWN_SHARE), "{granted} of {budget}");
+    }
+}
--- a/store/src/outbox/tests.rs
+++ b/shared-store/src/write_behind/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn the_oldest_goes_where_there_is_no_room() {
-    let mut outbox = Outbox::new(3);
+    let mut outbox = WriteBehindQueue::new(3);
     (0..5).for_each(|n| outbox.push(n));
     assert_eq!((outbox.take(2), outbox.dropped()), (vec![2, 3], 2));
     assert_eq!((outbox.take(9), outbox.take(9)), (vec![4], vec![]));
