--- a/store/tests/schedules.rs
+++ b/shared-store/tests/schedules.rs
@@ -6,10 +6,11 @@
 //! nothing but the store's part keeps a key in one group.
 
 use proptest::test_runner::{RngAlgorithm, TestRng};
-use reedwalk_store::beat::{self, Beat};
-use reedwalk_store::breaker::{Breaker, Fault};
-use reedwalk_store::keyed::{
-    Claimed, Close, Ending, Holder, Keyed, LEASE, Prior, Scope, Send, Sent, Stage, Step,
+use reedwalk_shared_store::circuit_breaker::{CircuitBreaker, Fault};
+use reedwalk_shared_store::freshness::{self, FreshnessCheck};
+use reedwalk_shared_store::idempotency::{
+    CLAIM_LEASE, ClaimEnd, ClaimHolder, ClaimReply, KeyedRequest, RequestEnd, RequestStep, Scope,
+    SendDecision, SendRecord, Stage, StoredState,
 };
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::{Duration, Instant};
@@ -51,9 +52,9 @@
 
 #[derive(Clone, Default)]
 struct Fact {
-    holder: Option<Holder>,
+    holder: Option<ClaimHolder>,
     stage: Option<Stage>,
-    sent: Option<Sent>,
+    sent: Option<SendRecord>,
     answer: Option<Vec<u8>>,
     expires: u64,
     lease: u64,
@@ -67,25 +68,26 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    Claim { key: usize, holder: Holder, again: bool, front: u64 },
-    Mark { key: usize, holder: Holder, sent: Sent },
-    Close { key: usize, holder: Holder, close: Close },
-    Renew { key: usize, holder: Holder },
-    Beat { front: u64, count: u64 },
+    Claim { key: usize, holder: ClaimHolder, again: bool, front: u64 },
+    Mark { key: usize, holder: ClaimHolder, sent: SendRecord },
+    ClaimEnd { key: usize, holder: ClaimHolder, close: ClaimEnd },
+    Renew { key: usize, holder: ClaimHolder },
+    FreshnessCheck { front: u64, count: u64 },
 }
 
 #[derive(Clone, Debug)]
 enum Reply {
-    Claimed(Claimed, Option<u64>),
+    Claimed(ClaimReply, Option<u64>),
     Written(bool),
-    Beat(Option<u64>),
+    FreshnessCheck(Option<u64>),
 }
 
 impl Contents {
+    #[expect(clippy::too_many_lines, reason = "one arm for each operation of the model")]
     fn apply(&mut self, op: &Op, now: u64, fenced: bool) -> Reply {
         self.facts.retain(|_, f| f.expires > now);
-        let lease = LEASE.as_millis() as u64;
-        let held = |facts: &BTreeMap<usize, Fact>, key: &usize, holder: &Holder| {
+        let lease = CLAIM_LEASE.as_millis() as u64;
+        let held = |facts: &BTreeMap<usize, Fact>, key: &usize, holder: &ClaimHolder| {
             !fenced && facts.contains_key(key) || facts.get(key).is_some_and(|f| f.holder == Some(*holder))
         };
         match op {
@@ -93,10 +95,10 @@
                 let beat = self.beats.get(front).copied();
                 let fact = self.facts.entry(*key).or_default();
                 let prior = match (fact.stage, &fact.sent, &fact.answer) {
-                    (None, ..) => Prior::Absent,
-                    (Some(Stage::Sent), Some(sent), _) => Prior::Sent(*sent),
-                    (Some(Stage::Done), _, Some(answer)) => Prior::Done(answer.clone()),
-                    (Some(stage), ..) => Prior::Stage(stage),
+                    (None, ..) => StoredState::Absent,
+                    (Some(Stage::Sent), Some(sent), _) => StoredState::Sent(*sent),
+                    (Some(Stage::Done), _, Some(answer)) => StoredState::Done(answer.clone()),
+                    (Some(stage), ..) => StoredState::Stage(stage),
                 };
                 let free = fact.stage != Some(Stage::Done) && (fact.holder.is_none() || fact.lease <= now);
                 if free {
@@ -111,7 +113,7 @@
                     fact.expires = fact.expires.max(now + kept);
                 }
                 let lease_left = Duration::from_millis(fact.lease.saturating_sub(now));
-                Reply::Claimed(Claimed { taken: free, lease_left, prior }, beat)
+                Reply::Claimed(ClaimReply { is_claimed: free, lease_left, stored: prior }, beat)
             }
             Op::Mark { key, holder, sent } => {
                 let held = held(&self.facts, key, holder);
@@ -121,16 +123,16 @@
                 }
                 Reply::Written(held)
             }
-            Op::Close { key, holder, close } => {
+            Op::ClaimEnd { key, holder, close } => {
                 let held = held(&self.facts, key, holder);
                 if let (true, Some(fact)) = (held, self.facts.get_mut(key)) {
                     match close {
-                        Close::Done(answer) => {
+                        ClaimEnd::Done(answer) => {
                             (fact.stage, fact.answer) = (Some(Stage::Done), Some(answer.clone()));
                             fact.expires = now + 2 * WINDOW;
                         }
-                        Close::Free(stage) => fact.stage = Some(*stage),
-                        Close::Release => {}
+                        ClaimEnd::ReleaseWith(stage) => fact.stage = Some(*stage),
+                        ClaimEnd::Release => {}
                     }
                     (fact.holder, fact.lease) = (None, 0);
                 }
@@ -143,7 +145,7 @@
                 }
                 Reply::Written(held)
             }
-            Op::Beat { front, count } => Reply::Beat(self.beats.insert(*front, *count)),
+            Op::FreshnessCheck { front, count } => Reply::FreshnessCheck(self.beats.insert(*front, *count)),
         }
     }
 }
@@ -237,8 +239,8 @@
     asleep_until: u64,
     /// Hears the store no more until then.
     split_until: u64,
-    breaker: Breaker,
-    beat: Beat,
+    breaker: CircuitBreaker,
+    beat: FreshnessCheck,
     claims: u64,
     skew: u64,
 }
@@ -249,13 +251,13 @@
     front: usize,
     life: u64,
     came: u64,
-    keyed: Keyed,
-    holder: Holder,
+    keyed: KeyedRequest,
+    holder: ClaimHolder,
     bound: Option<(u64, u64)>,
     attempts: usize,
     /// A store's question that is out, so that a late answer finds nobody.
     place: usize,
-    wants: Option<Sent>,
+    wants: Option<SendRecord>,
     first_sent: Option<u64>,
     answers: Vec<&'static str>,
     /// Its client waits no more.
@@ -306,8 +308,8 @@
             life: n as u64 + 1,
             asleep_until: 0,
             split_until: 0,
-            breaker: Breaker::new(draw.below(u64::MAX)),
-            beat: Beat::new(Duration::from_millis(WINDOW), start),
+            breaker: CircuitBreaker::new(draw.below(u64::MAX)),
+            beat: FreshnessCheck::new(Duration::from_millis(WINDOW), start),
             claims: 0,
             skew: draw.below(SKEW),
         };
@@ -418,21 +420,24 @@
             }
             Event::BeatReplied { front, life, count, reply, asked } if self.alive(front, life) => {
                 let (now, asked) = (self.instant(), self.start + Duration::from_millis(asked));
-                if let Some(Reply::Beat(read)) = reply {
-                    self.fronts[front].beat.read(read, now);
-                    self.fronts[front].beat.confirmed(count, asked);
-                    self.fronts[front].breaker.answered();
+                if let Some(Reply::FreshnessCheck(read)) = reply {
+                    self.fronts[front].beat.on_read(read, now);
+                    self.fronts[front].beat.on_confirmed(count, asked);
+                    self.fronts[front].breaker.on_success();
                 } else {
-                    self.fronts[front].breaker.failed(Fault::Slow, now);
+                    self.fronts[front].breaker.on_failure(Fault::Timeout, now);
                 }
             }
             Event::Beats { front, life } if self.alive(front, life) => {
                 let (now, by) = (self.instant(), self.instant() + Duration::from_millis(WAIT));
-                if self.fronts[front].breaker.may_ask(now, by) {
-                    let count = self.fronts[front].beat.draw();
-                    self.ask(front, Op::Beat { front: life, count }, None);
+                if self.fronts[front].breaker.allows_call(now, by) {
+                    let count = self.fronts[front].beat.next_count();
+                    self.ask(front, Op::FreshnessCheck { front: life, count }, None);
                 }
-                self.at(self.now + beat::EVERY.as_millis() as u64, Event::Beats { front, life });
+                self.at(
+                    self.now + freshness::HEARTBEAT_INTERVAL.as_millis() as u64,
+                    Event::Beats { front, life },
+                );
             }
             Event::Renews { front, life } if self.alive(front, life) => {
                 for id in 0..self.tries.len() {
@@ -466,11 +471,11 @@
         self.counts.tries += 1;
         let life = self.fronts[front].life;
         self.fronts[front].claims += 1;
-        let holder = Holder { front: life, claim: self.fronts[front].claims };
-        let mut keyed = Keyed::new(Scope::Group, number > 0, Duration::from_millis(WINDOW), CLOCKS);
+        let holder = ClaimHolder { process: life, claim: self.fronts[front].claims };
+        let mut keyed = KeyedRequest::new(Scope::Group, number > 0, Duration::from_millis(WINDOW), CLOCKS);
         let (now, by) = (self.instant(), self.instant() + Duration::from_millis(WAIT));
-        let usable = self.fronts[front].breaker.may_ask(now, by);
-        let step = keyed.arrive(usable);
+        let usable = self.fronts[front].breaker.allows_call(now, by);
+        let step = keyed.on_arrival(usable);
         let try_id = self.tries.len();
         self.tries.push(Try {
             key,
@@ -496,27 +501,27 @@
         self.step(try_id, step);
     }
 
-    fn step(&mut self, try_id: usize, step: Step) {
+    fn step(&mut self, try_id: usize, step: RequestStep) {
         let (front, life) = (self.tries[try_id].front, self.tries[try_id].life);
         match step {
-            Step::Claim => {
+            RequestStep::Claim => {
                 let one = &self.tries[try_id];
                 let op = Op::Claim { key: one.key, holder: one.holder, again: one.number > 0, front: life };
                 self.ask(front, op, Some(try_id));
             }
-            Step::Go(earlier) => {
-                let ago = earlier.map(|e| (e.group, self.now.saturating_sub(e.ago.as_millis() as u64)));
+            RequestStep::Proceed(earlier) => {
+                let ago = earlier.map(|e| (e.group, self.now.saturating_sub(e.age.as_millis() as u64)));
                 self.tries[try_id].bound = ago;
                 let most = if self.draw.chance(40) { 4_000 } else { 400 };
                 let held = 1 + self.draw.below(most);
                 self.at(self.now + held, Event::Wants { try_id, front, life });
             }
-            Step::Answer(_) => {
+            RequestStep::Respond(_) => {
                 self.counts.from_store += 1;
                 self.answer(try_id, "served");
             }
-            Step::Refuse(_) => self.answer(try_id, "refused"),
-            Step::Fail => self.answer(try_id, "failed"),
+            RequestStep::Reject(_) => self.answer(try_id, "refused"),
+            RequestStep::Fail => self.answer(try_id, "failed"),
         }
     }
 
@@ -527,7 +532,7 @@
         if let Some(try_id) = to {
             let place = self.tries[try_id].place;
             self.at(asked + WAIT, Event::Replied { try_id, front, life, reply: None, asked, place });
-        } else if let Op::Beat { count, .. } = op {
+        } else if let Op::FreshnessCheck { count, .. } = op {
             self.at(asked + WAIT, Event::BeatReplied { front, life, count, reply: None, asked });
         }
         if self.fronts[front].split_until <= self.now {
@@ -554,7 +559,7 @@
                 let place = self.tries[try_id].place;
                 self.at(at, Event::Replied { try_id, front, life, reply: Some(reply), asked, place });
             }
-            (None, Op::Beat { count, .. }) => {
+            (None, Op::FreshnessCheck { count, .. }) => {
                 self.at(at, Event::BeatReplied { front, life, count, reply: Some(reply), asked });
             }
             _ => {}
@@ -566,8 +571,8 @@
         // Who slept through the wait has had no answer in time, whatever has come since.
         let reply = reply.filter(|_| self.now <= asked + WAIT);
         match &reply {
-            Some(_) => self.fronts[front].breaker.answered(),
-            None => self.fronts[front].breaker.failed(Fault::Slow, now),
+            Some(_) => self.fronts[front].breaker.on_success(),
+            None => self.fronts[front].breaker.on_failure(Fault::Timeout, now),
         };
         if self.tries[try_id].over {
             return;
@@ -577,8 +582,8 @@
                 Some(Reply::Written(written)) => Some(written),
                 _ => None,
             };
-            match self.tries[try_id].keyed.marked(sent, written) {
-                Send::Now => {
+            match self.tries[try_id].keyed.on_recorded(sent, written) {
+                SendDecision::SendNow => {
                     // The module hears that it is bound from now on.
                     self.tries[try_id].bound = Some((sent.group, self.now));
                     self.attempt(try_id, sent.group);
@@ -589,13 +594,13 @@
         }
         let (claimed, trusted) = match reply {
             Some(Reply::Claimed(claimed, beat)) => {
-                self.fronts[front].beat.read(beat, now);
-                (Some(claimed), self.fronts[front].beat.trusts(now))
+                self.fronts[front].beat.on_read(beat, now);
+                (Some(claimed), self.fronts[front].beat.is_trusted(now))
             }
             _ => (None, false),
         };
         let unix = self.unix(front);
-        let (step, close) = self.tries[try_id].keyed.claimed(claimed, trusted, unix);
+        let (step, close) = self.tries[try_id].keyed.on_claim_reply(claimed, trusted, unix);
         self.close(try_id, close);
         self.step(try_id, step);
     }
@@ -614,15 +619,15 @@
         let group = bound.map_or_else(|| self.draw.below(2), |b| b.0);
         let unix = self.unix(front);
         self.tries[try_id].attempts += 1;
-        match self.tries[try_id].keyed.send(group, unix) {
-            Send::Now => self.attempt(try_id, group),
-            Send::Mark(sent) => {
+        match self.tries[try_id].keyed.before_send(group, unix) {
+            SendDecision::SendNow => self.attempt(try_id, group),
+            SendDecision::RecordFirst(sent) => {
                 self.tries[try_id].wants = Some(sent);
                 let one = &self.tries[try_id];
                 let op = Op::Mark { key: one.key, holder: one.holder, sent };
                 self.ask(front, op, Some(try_id));
             }
-            Send::Never => self.answer(try_id, "failed"),
+            SendDecision::DoNotSend => self.answer(try_id, "failed"),
         }
     }
 
@@ -649,7 +654,7 @@
     }
 
     fn ended(&mut self, try_id: usize, outcome: Outcome) {
-        self.tries[try_id].keyed.ended(outcome != Outcome::Full);
+        self.tries[try_id].keyed.on_attempt_end(outcome != Outcome::Full);
         match outcome {
             Outcome::Ok => self.answer(try_id, "served"),
             _ => self.wants(try_id),
@@ -665,8 +670,9 @@
         if !left {
             one.answers.push(end);
         }
-        let ending = if end == "served" { Ending::Served(Some(b"1 row".to_vec())) } else { Ending::Unserved };
-        let close = self.tries[try_id].keyed.over(ending);
+        let ending =
+            if end == "served" { RequestEnd::Served(Some(b"1 row".to_vec())) } else { RequestEnd::Unserved };
+        let close = self.tries[try_id].keyed.on_request_end(ending);
         self.close(try_id, close);
         // Some answers are lost on their way: their clients can't know that they were served.
         if left {
@@ -679,10 +685,10 @@
         }
     }
 
-    fn close(&mut self, try_id: usize, close: Option<Close>) {
+    fn close(&mut self, try_id: usize, close: Option<ClaimEnd>) {
         let one = &self.tries[try_id];
         if let Some(close) = close {
-            let (front, op) = (one.front, Op::Close { key: one.key, holder: one.holder, close });
+            let (front, op) = (one.front, Op::ClaimEnd { key: one.key, holder: one.holder, close });
             self.ask(front, op, None);
         }
     }
@@ -699,7 +705,7 @@
         // Its front end hears of it, unless it sleeps or is another by now.
         if self.alive(front, life) && self.fronts[front].asleep_until <= self.now {
             self.tries[try_id].over = true;
-            let close = self.tries[try_id].keyed.over(Ending::Unserved);
+            let close = self.tries[try_id].keyed.on_request_end(RequestEnd::Unserved);
             self.close(try_id, close);
         }
         self.again(key, number);
@@ -735,7 +741,7 @@
                 let now = self.instant();
                 let one = &mut self.fronts[front];
                 (one.life, one.asleep_until, one.claims) = (life, 0, 0);
-                (one.breaker, one.beat) = (Breaker::new(seed), Beat::new(beat, now));
+                (one.breaker, one.beat) = (CircuitBreaker::new(seed), FreshnessCheck::new(beat, now));
                 self.begin(front);
                 for id in 0..self.tries.len() {
                     let one = &mut self.tries[id];
@@ -749,7 +755,7 @@
             7 => self.fronts[front].split_until = until,
             8 => {
                 // Old contents, of a moment that a beat has passed since.
-                let least = beat::GAP.as_millis() as u64 + 100;
+                let least = freshness::MAX_HEARTBEAT_GAP.as_millis() as u64 + 100;
                 let old: Vec<_> = self.copies.iter().filter(|c| c.0 + least <= self.now).cloned().collect();
                 if !old.is_empty() {
                     self.store = old[self.draw.below(old.len() as u64) as usize].1.clone();
--- a/src/policy/bounds.rs
+++ b/src/policy/bounds.rs
@@ -13,7 +13,7 @@
 /// Attempts in flight whose mean age may show pressure.
 const MIN_IN_FLIGHT: f64 = 3.0;
 /// Share of an engine's failures that counts on in the next period.
-const FAILURES_KEPT: f64 = 0.75;
+const FAILURE_DECAY: f64 = 0.75;
 
 /// What the latest evidence says of an engine.
 struct Assessment {
@@ -82,7 +82,7 @@
             }
             engine.under_pressure = under_pressure || reached && engine.under_pressure;
             engine.bound_reached = false;
-            engine.failures.samples *= FAILURES_KEPT;
+            engine.failures.samples *= FAILURE_DECAY;
             engine.evidence.end_period(MIN_SAMPLES);
         }
         self.pool.end_period(MIN_SAMPLES);
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -118,7 +118,7 @@
             self.recent_retries.push(sent);
         }
         request.in_flight =
-            Some(InFlightAttempt { engine: to, sent, number, last_heard: sent, cancelled: false });
+            Some(InFlightAttempt { engine: to, sent, number, last_response: sent, cancelled: false });
         request.last_engine = Some(to);
         request.attempts += 1;
         engine.add_attempt(id, threads, self.settings.classes[class.0].is_load, sent);
@@ -130,7 +130,7 @@
         actions.push(Action::Send { request: id, engine: to, timeout: None });
     }
 
-    /// The grant for a request's next attempt, if there is anything to say.
+    /// The grant for a request's next attempt, if it differs from the one before.
     fn resource_grant(&self, id: RequestId) -> Option<ResourceGrant> {
         let (traits, request) = (&self.settings.engine, self.requests.get(id)?);
         let class = &self.classes[request.arrival.class.0];
@@ -141,8 +141,8 @@
             estimate * (mean + deviation).exp()
         });
         let priority = if traits.priorities { self.class_priority(request.arrival.class) } else { USUAL };
-        let has_news = memory_mb.is_some() || priority != request.priority;
-        has_news.then_some(ResourceGrant { memory_mb, priority })
+        let has_grant = memory_mb.is_some() || priority != request.priority;
+        has_grant.then_some(ResourceGrant { memory_mb, priority })
     }
 
     /// Classes of the highest value density go first on short cores, and bulk loads, which hold up others
@@ -153,7 +153,7 @@
         if self.settings.classes[class.0].is_load || is_first { HIGH } else { USUAL }
     }
 
-    /// What nobody waits for any more, and nothing can stop, goes on behind all else. Guards against jams of
+    /// Abandoned work that cannot be cancelled goes on at the lowest priority. Guards against congestion by
     /// abandoned work; costs nothing where priorities are not respected.
     pub(crate) fn demote_abandoned(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if !self.settings.engine.priorities || self.settings.limits.cancel {
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -112,7 +112,7 @@
         let is_silent = |engine: &EngineRecord| {
             let InFlightEvidence { stalled, stall_threshold, .. } = engine.evidence.in_flight;
             let few = if stalled >= STALLED_FOR_SURE { 1 } else { STALLED_FOR_SURE as i64 };
-            stalled > 0 && self.now - engine.last_heard > (few * stall_threshold).max(MIN_SILENCE)
+            stalled > 0 && self.now - engine.last_response > (few * stall_threshold).max(MIN_SILENCE)
         };
         let silent = self.engines.iter().filter(|(_, engine)| is_silent(engine)).map(|(id, _)| id);
         for engine in silent.collect::<Vec<_>>() {
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -11,11 +11,11 @@
 const RUNAWAY: f64 = 4.0;
 /// An attempt projected to need this many times what its client will wait can't meet its deadline; reports
 /// are rough.
-const HOPELESS: f64 = 1.5;
+const CANNOT_FINISH: f64 = 1.5;
 /// A retry is worth it with this many times the usual execution time left.
 const TIME_FOR_RETRY: f64 = 1.5;
 /// Attempts after which one that can't meet its deadline is not cancelled for another.
-const MAX_HOPELESS_ATTEMPTS: u32 = 3;
+const MAX_CANCELLED_ATTEMPTS: u32 = 3;
 /// Share of the retries after bad plans that must have done better.
 const HELPS: f64 = 0.5;
 /// Utilization beyond which an engine is not taken for slower yet.
@@ -36,10 +36,10 @@
         let Some(attempt) = request.in_flight.as_mut().filter(|attempt| attempt.number == number.0) else {
             return;
         };
-        attempt.last_heard = self.now;
+        attempt.last_response = self.now;
         let (sent, cancelled) = (attempt.sent, attempt.cancelled);
         if let Some(engine) = self.engines.get_mut(attempt.engine) {
-            engine.last_heard = self.now;
+            engine.last_response = self.now;
         }
         let ProgressReport::Done(done) = report else { return };
         let Some(request) = self.requests.get(id) else { return };
@@ -50,17 +50,17 @@
         let (rest, left) = (projected * (1.0 - done), (request.deadline - self.now) as f64);
         let retry_helps = class.retry_helps.get(MIN_SAMPLES).is_none_or(|share| share > HELPS);
         // What would end long after its client has gone is cancelled again, or ended.
-        let is_hopeless = rest > HOPELESS * left && request.attempts > 1;
+        let cannot_finish = rest > CANNOT_FINISH * left && request.attempts > 1;
         let is_known = class.execution_time.samples >= MIN_SAMPLES && !cancelled;
         let is_bad_plan = retry_helps && request.bad_plan_time.is_none() && rest > RUNAWAY * usual;
-        let may_retry = is_bad_plan || is_hopeless && request.attempts < MAX_HOPELESS_ATTEMPTS;
+        let may_retry = is_bad_plan || cannot_finish && request.attempts < MAX_CANCELLED_ATTEMPTS;
         if is_known && left > TIME_FOR_RETRY * usual && may_retry {
             if self.cancel_for_retry(id, actions)
                 && let Some(request) = self.requests.get_mut(id)
             {
                 request.bad_plan_time = Some(projected);
             }
-        } else if is_known && is_hopeless && self.settings.limits.cancel {
+        } else if is_known && cannot_finish && self.settings.limits.cancel {
             self.answer(id, actions);
         }
     }
@@ -156,7 +156,7 @@
         let Some(engine) = self.engines.get_mut(attempt.engine) else { return };
         engine.remove_attempt(request.arrival.request, threads);
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::Reset) {
-            engine.last_heard = self.now;
+            engine.last_response = self.now;
         } else if outcome == Outcome::TimedOut && !self.settings.limits.cancel {
             // Given up by the client, but nothing stops it: it loads the engine for about as long again.
             // Guards against jams of abandoned work; hurts where engines do stop at a time-out.
--- a/src/policy/shedding.rs
+++ b/src/policy/shedding.rs
@@ -22,7 +22,7 @@
     /// A waiting request that has used up most of its wait: it would be late, and those behind it as well.
     /// Acts where a late answer has a lower value density than some class's in time; who comes again has
     /// waited. Guards against overload of any cause. Hurts where a burst would have passed within the wait.
-    pub(crate) fn is_hopeless(&self, request: &RequestRecord, max_value_density: f64) -> bool {
+    pub(crate) fn waited_too_long(&self, request: &RequestRecord, max_value_density: f64) -> bool {
         let class = request.arrival.class;
         let (settings, known) = (&self.settings.classes[class.0], &self.classes[class.0]);
         let tries = if request.arrival.is_retry { RETRY_WAIT_DIVISOR } else { 1.0 };
@@ -104,7 +104,7 @@
         self.collect_in_flight_evidence();
         self.adjust_bounds(period_ends);
         self.eject_silent(actions);
-        self.look_through_requests(round, actions);
+        self.review_requests(round, actions);
     }
 
     fn end_period(&mut self) {
@@ -122,14 +122,16 @@
         self.expire();
     }
 
-    fn look_through_requests(&mut self, round: i64, actions: &mut Vec<Action>) {
+    fn review_requests(&mut self, round: i64, actions: &mut Vec<Action>) {
         let max_value_density = self.max_value_density();
         let (mut to_answer, mut to_demote, mut to_retry) = (Vec::new(), Vec::new(), Vec::new());
         for (id, request) in self.requests.iter().filter(|(_, request)| !request.streaming) {
             let gives_up_soon = request.deadline <= self.now + 2 * round;
             let is_overdue = request.deadline + micros(self.settings.tick) < self.now;
             match &request.in_flight {
-                None if gives_up_soon || self.is_hopeless(request, max_value_density) => to_answer.push(id),
+                None if gives_up_soon || self.waited_too_long(request, max_value_density) => {
+                    to_answer.push(id)
+                }
                 Some(_) if is_overdue => to_answer.push(id),
                 Some(_) if gives_up_soon => to_demote.push(id),
                 Some(attempt) if self.is_lost(attempt) => to_retry.push(id),
@@ -151,7 +153,7 @@
     /// is.
     fn is_lost(&self, attempt: &InFlightAttempt) -> bool {
         let interval = self.settings.engine.progress_interval.filter(|_| !self.stalled);
-        let is_silent = |interval| self.now - attempt.last_heard > micros(interval) * REPORTS_MISSED / 2;
+        let is_silent = |interval| self.now - attempt.last_response > micros(interval) * REPORTS_MISSED / 2;
         interval.is_some_and(is_silent)
     }
 }
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -61,7 +61,7 @@
     pub(crate) last_served: i64,
     pub(crate) last_sent: i64,
     /// Last response, or the first send after it had nothing in flight.
-    pub(crate) last_heard: i64,
+    pub(crate) last_response: i64,
     pub(crate) ejected_until: i64,
     pub(crate) backoff: i64,
     /// Queries that it must serve, one at a time, until it is trusted again.
@@ -76,13 +76,13 @@
 impl EngineRecord {
     /// An engine of which nothing is known yet.
     pub(crate) fn new(evidence: Evidence, bound: f64, backoff: i64, now: i64) -> Self {
-        Self { evidence, bound, backoff, last_heard: now, ..Self::default() }
+        Self { evidence, bound, backoff, last_response: now, ..Self::default() }
     }
 
     /// An attempt is sent to it.
     pub(crate) fn add_attempt(&mut self, request: RequestId, threads: f64, is_load: bool, now: i64) {
         if self.in_flight == 0 {
-            self.last_heard = now;
+            self.last_response = now;
         }
         self.in_flight += 1;
         self.threads += threads;
--- a/src/state/evidence.rs
+++ b/src/state/evidence.rs
@@ -1,13 +1,13 @@
-//! What answers, and attempts in flight, tell of the load of an engine, or of all engines together.
+//! Evidence of the load of an engine, or of all engines together, from responses and from attempts in flight.
 
 use super::mean::Mean;
 
-/// Share of its samples that a mean keeps over a period ...
-const KEPT_OVER_PERIOD: f64 = 0.75;
-/// ... and one that the next cut must not judge by again.
-const KEPT_AFTER_CUT: f64 = 0.25;
+/// Share of its samples that a mean keeps from one period to the next ...
+const PERIOD_DECAY: f64 = 0.75;
+/// ... and share that a mean keeps after a cut, so that the same samples do not cause the next one.
+const CUT_DECAY: f64 = 0.25;
 
-/// What the attempts in flight tell.
+/// Evidence from the attempts in flight.
 #[derive(Clone, Default)]
 pub(crate) struct InFlightEvidence {
     /// Age over the class's best time, clipped, of all classes together.
@@ -20,7 +20,7 @@
     pub(crate) stall_threshold: i64,
 }
 
-/// What answers and attempts in flight tell.
+/// Evidence from responses and from attempts in flight.
 #[derive(Default)]
 pub(crate) struct Evidence {
     /// For each class: latency over the stretched objective, since the last cut.
@@ -61,11 +61,11 @@
     /// Ends a period. Each period is judged by its own completions; classes with fewer than `min_samples` gather theirs
     /// over several.
     pub(crate) fn end_period(&mut self, min_samples: f64) {
-        self.slowdown.samples *= KEPT_OVER_PERIOD;
-        self.utilization.samples *= KEPT_OVER_PERIOD;
-        self.slowdown_since_cut.samples *= KEPT_AFTER_CUT;
+        self.slowdown.samples *= PERIOD_DECAY;
+        self.utilization.samples *= PERIOD_DECAY;
+        self.slowdown_since_cut.samples *= CUT_DECAY;
         for mean in &mut self.over_objective {
-            mean.samples *= if mean.samples < min_samples { KEPT_OVER_PERIOD } else { KEPT_AFTER_CUT };
+            mean.samples *= if mean.samples < min_samples { PERIOD_DECAY } else { CUT_DECAY };
         }
     }
 
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -26,7 +26,7 @@
     pub(crate) sent: i64,
     pub(crate) number: u32,
     /// When it was sent, or its last progress report came.
-    pub(crate) last_heard: i64,
+    pub(crate) last_response: i64,
     pub(crate) cancelled: bool,
 }
 
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -199,6 +199,7 @@
         .collect()
 }
 
+#[expect(clippy::too_many_lines, reason = "one history, checked after every step")]
 fn script(seed: u64) -> (usize, usize) {
     let mut dice = Dice(seed * 2_654_435_761 + 1);
     let kinds = vec![KindSettings { cores: 4, memory_mb: 0.0 }, KindSettings { cores: 0, memory_mb: 9e9 }];
