--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 .PHONY: build test lint run sites fleet measure-held measure-cores measure-room measure-handover measure-store measure-peers
 
 # The day that `make fleet` plays.
-DAY ?= fleet/days/lesson.kdl
+DAY ?= fault-injection/days/lesson.kdl
 
 build:
 	cargo build --release --locked
@@ -34,28 +34,28 @@
 # What a request costs the decision module while others are held: rows for 10, 100 and 1,000.
 measure-held: build
 	cargo run --release --locked --example held
-	cargo run --release --locked -p reedwalk-measures --bin measure-held
+	cargo run --release --locked -p reedwalk-benchmarks --bin measure-held
 
 # The gain of several cores and what is lost in judgement; some minutes, best alone on the machine.
 measure-cores: build
-	cargo run --release --locked -p reedwalk-measures --bin measure-cores
+	cargo run --release --locked -p reedwalk-benchmarks --bin measure-cores
 
 # Memory that a front end holds for each who connects and asks nothing.
 measure-room: build
-	cargo run --release --locked -p reedwalk-measures --bin measure-room
+	cargo run --release --locked -p reedwalk-benchmarks --bin measure-room
 
 # What clients meet while one process takes over from another, 25 times under load; some 40 s.
 measure-handover: build
-	cargo run --release --locked -p reedwalk-measures --bin measure-handover
+	cargo run --release --locked -p reedwalk-benchmarks --bin measure-handover
 
 # One day of a fleet of real processes: a table, what struck, and charts in target/fleet.
 fleet: build
-	cargo run --release --locked -p reedwalk-fleet --bin reedwalk-fleet -- $(DAY)
+	cargo run --release --locked -p reedwalk-fault-injection --bin reedwalk-fleet -- $(DAY)
 
 # What it is worth that front ends know each other, at 20, 100 and 300 of them; some 10 minutes, alone on the machine.
 measure-peers: build
-	cargo run --release --locked -p reedwalk-measures --bin measure-peers
+	cargo run --release --locked -p reedwalk-benchmarks --bin measure-peers
 
 # What a shared store adds to a request, and what it costs when it fails; some 5 minutes.
 measure-store: build
-	cargo run --release --locked -p reedwalk-measures --bin measure-store
+	cargo run --release --locked -p reedwalk-benchmarks --bin measure-store
--- a/measures/src/bin/measure-held.rs
+++ b/benchmarks/src/bin/measure-held.rs
@@ -3,12 +3,12 @@
 //! A front end takes 1,000 open requests at most by its settings, so 900 are held; the module alone is measured to
 //! 1,000. `REEDWALK` names another build to measure.
 
-use reedwalk_measures::{Front, Setup, apart, machine};
-use reedwalk_standins::config::known;
-use reedwalk_standins::driver::{self, Kind, Plan};
-use reedwalk_standins::model::Shape;
-use reedwalk_standins::record::Record;
-use reedwalk_standins::resp::modelled;
+use reedwalk_benchmarks::{Front, Setup, apart, machine};
+use reedwalk_testkit::config::known;
+use reedwalk_testkit::load_generator::{self, Kind, Plan};
+use reedwalk_testkit::model::Shape;
+use reedwalk_testkit::request_log::Record;
+use reedwalk_testkit::resp::modelled;
 use std::time::Duration;
 
 const REQUESTS: f64 = 4000.0;
@@ -55,14 +55,14 @@
         seed: 3,
         kinds: vec![kind.clone()],
     };
-    driver::play(&[front.address], &plan(1000.0), LEAD);
+    load_generator::play(&[front.address], &plan(1000.0), LEAD);
     // What the sessions cost to open is no part of a request's cost: they are open shortly before the start.
     let (result, before) = std::thread::scope(|scope| {
         let opened = scope.spawn(|| {
             std::thread::sleep(LEAD - Duration::from_millis(50));
             front.cpu_ms()
         });
-        let result = driver::play(&[front.address], &plan(REQUESTS), LEAD);
+        let result = load_generator::play(&[front.address], &plan(REQUESTS), LEAD);
         (result, opened.join().unwrap())
     });
     assert!(
--- a/measures/src/bin/measure-room.rs
+++ b/benchmarks/src/bin/measure-room.rs
@@ -3,11 +3,11 @@
 //! A crowd comes in steps, and after each the process's resident memory is read. What is given is the slope of a
 //! line through all steps, so that what the program holds with nobody there is not counted.
 
-use reedwalk_measures::{Front, Setup, apart, machine};
-use reedwalk_standins::config::known;
-use reedwalk_standins::mysql::{Client, fields, query};
-use reedwalk_standins::record::Record;
-use reedwalk_standins::resp::modelled;
+use reedwalk_benchmarks::{Front, Setup, apart, machine};
+use reedwalk_testkit::config::known;
+use reedwalk_testkit::mysql::{Client, fields, query};
+use reedwalk_testkit::request_log::Record;
+use reedwalk_testkit::resp::modelled;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
--- a/measures/src/bin/measure-store.rs
+++ b/benchmarks/src/bin/measure-store.rs
@@ -4,13 +4,13 @@
 //! the times are set against the same load without a store. Then a budget is drawn on by three front ends at three
 //! times its rate, and the engines' record says how much was granted in a window.
 
-use reedwalk_measures::{Front, Setup, apart, machine};
-use reedwalk_standins::config::known;
-use reedwalk_standins::driver::{self, Kind, Plan, Result};
-use reedwalk_standins::model::Shape;
-use reedwalk_standins::record::{Record, What};
-use reedwalk_standins::redis::{Redis, Trouble};
-use reedwalk_standins::resp::modelled;
+use reedwalk_benchmarks::{Front, Setup, apart, machine};
+use reedwalk_testkit::config::known;
+use reedwalk_testkit::load_generator::{self, Kind, Plan, Result};
+use reedwalk_testkit::model::Shape;
+use reedwalk_testkit::redis::{Redis, Trouble};
+use reedwalk_testkit::request_log::{Record, What};
+use reedwalk_testkit::resp::modelled;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -120,7 +120,7 @@
     let troubled = trouble(&redis, state, LEAD + SPAN / 2, &stop);
     let kinds = vec![kind("batch-post", true)];
     let plan = Plan { rate, span: SPAN, sessions: 64, threads: fronts.max(2), seed, kinds };
-    let result = driver::play(&addresses, &plan, LEAD);
+    let result = load_generator::play(&addresses, &plan, LEAD);
     stop.store(true, Ordering::Relaxed);
     troubled.join().unwrap();
     let commands = (redis.seen().len() - before) as f64 / result.asked.max(1) as f64;
--- a/measures/src/lib.rs
+++ b/benchmarks/src/lib.rs
@@ -1,7 +1,7 @@
 //! What the measurements share: front ends started as processes, what they cost, tables.
-#![allow(missing_docs)]
+#![allow(missing_docs, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
-use reedwalk_standins::config::settings;
+use reedwalk_testkit::config::settings;
 use serde_json::{Value, json};
 use std::future::Future;
 use std::io::{BufRead, BufReader};
--- a/fleet/src/datagram.rs
+++ b/fault-injection/src/datagram.rs
@@ -1,7 +1,7 @@
 //! A relay for questions and answers over UDP, such as those to the name server: each asker has a way of its own through
 //! it, and each direction a fault.
 
-use crate::fault::{Dice, Fault, Struck};
+use crate::fault::{AppliedFaults, Fault, FaultSampler};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,10 +12,10 @@
 const ASKERS: usize = 1024;
 
 struct Inner {
-    dice: Dice,
+    sampler: FaultSampler,
     there: Fault,
     back: Fault,
-    struck: Struck,
+    applied: AppliedFaults,
 }
 
 /// A relay in front of one target; cheap to clone.
@@ -32,8 +32,8 @@
         socket.set_nonblocking(true).unwrap();
         let socket = Arc::new(UdpSocket::from_std(socket).unwrap());
         let address = socket.local_addr().unwrap();
-        let (there, back, struck) = (Fault::default(), Fault::default(), Struck::default());
-        let inner = Arc::new(Mutex::new(Inner { dice: Dice::new(seed), there, back, struck }));
+        let (there, back, applied) = (Fault::default(), Fault::default(), AppliedFaults::default());
+        let inner = Arc::new(Mutex::new(Inner { sampler: FaultSampler::new(seed), there, back, applied }));
         let relay = Self { address, inner };
         runtime.spawn(relay.clone().carry(socket, target));
         relay
@@ -45,8 +45,8 @@
         (inner.there, inner.back) = (there, back);
     }
 
-    pub fn struck(&self) -> Struck {
-        self.inner.lock().unwrap().struck
+    pub fn applied_faults(&self) -> AppliedFaults {
+        self.inner.lock().unwrap().applied
     }
 
     async fn carry(self, socket: Arc<UdpSocket>, target: SocketAddr) {
@@ -90,7 +90,7 @@
             let mut inner = self.inner.lock().unwrap();
             let inner = &mut *inner;
             let fault = if there { inner.there } else { inner.back };
-            inner.dice.throw(&fault, bytes, &mut inner.struck)
+            inner.sampler.sample(&fault, bytes, &mut inner.applied)
         };
         for (delay, bytes) in thrown {
             let sent = send(bytes);
--- a/fleet/src/datagram/tests.rs
+++ b/fault-injection/src/datagram/tests.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 #[tokio::test]
-async fn each_asker_gets_his_own_answers_and_each_direction_has_its_fault() {
+async fn relay_separates_clients_and_directions() {
     let server = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let relay = UdpRelay::open(server.local_addr().unwrap(), 3, &Handle::current());
     tokio::spawn(async move {
@@ -23,5 +23,9 @@
     assert_eq!(ask(b"two").await.unwrap(), b"two");
     relay.set(Fault::default(), Fault::cut());
     assert_eq!(ask(b"three").await, None);
-    assert_eq!((relay.struck().passed, relay.struck().cut), (5, 1), "asked, and not answered");
+    assert_eq!(
+        (relay.applied_faults().passed, relay.applied_faults().cut),
+        (5, 1),
+        "asked, and not answered"
+    );
 }
--- a/fleet/src/fault.rs
+++ b/fault-injection/src/fault.rs
@@ -1,4 +1,4 @@
-//! What a link does to datagrams, drawn from a seed; and the counts of what really struck.
+//! What a link does to datagrams, drawn from a seed; and the counts of what really applied.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -34,16 +34,16 @@
     }
 }
 
-/// What struck, over a whole run.
+/// What applied, over a whole run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Struck {
+pub struct AppliedFaults {
     pub passed: u64,
     pub cut: u64,
     pub lost: u64,
     pub twice: u64,
     pub garbled: u64,
     pub late: u64,
-    /// From nobody that the rig knows.
+    /// From nobody that the cluster knows.
     pub unknown: u64,
     pub killed: u64,
     pub stopped: u64,
@@ -51,10 +51,10 @@
     pub restarted: u64,
     pub connections_cut: u64,
     pub connections_reset: u64,
-    pub engines_turned: u64,
+    pub engine_changes: u64,
 }
 
-impl Struck {
+impl AppliedFaults {
     pub fn add(&mut self, other: &Self) {
         let all = [
             (&mut self.passed, other.passed),
@@ -70,13 +70,13 @@
             (&mut self.restarted, other.restarted),
             (&mut self.connections_cut, other.connections_cut),
             (&mut self.connections_reset, other.connections_reset),
-            (&mut self.engines_turned, other.engines_turned),
+            (&mut self.engine_changes, other.engine_changes),
         ];
         all.into_iter().for_each(|(sum, more)| *sum += more);
     }
 }
 
-impl fmt::Display for Struck {
+impl fmt::Display for AppliedFaults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -95,15 +95,15 @@
             self.restarted,
             self.connections_cut,
             self.connections_reset,
-            self.engines_turned
+            self.engine_changes
         )
     }
 }
 
 /// Draws what becomes of each datagram.
-pub struct Dice(StdRng);
+pub struct FaultSampler(StdRng);
 
-impl Dice {
+impl FaultSampler {
     pub fn new(seed: u64) -> Self {
         Self(StdRng::seed_from_u64(seed))
     }
@@ -113,32 +113,37 @@
     }
 
     /// Copies of a datagram and how late each is.
-    pub fn throw(&mut self, fault: &Fault, bytes: &[u8], struck: &mut Struck) -> Vec<(Duration, Vec<u8>)> {
+    pub fn sample(
+        &mut self,
+        fault: &Fault,
+        bytes: &[u8],
+        applied: &mut AppliedFaults,
+    ) -> Vec<(Duration, Vec<u8>)> {
         if fault.cut {
-            struck.cut += 1;
+            applied.cut += 1;
             return Vec::new();
         }
         if self.chance(fault.loss) {
-            struck.lost += 1;
+            applied.lost += 1;
             return Vec::new();
         }
         let copies = if self.chance(fault.twice) { 2 } else { 1 };
-        struck.twice += copies - 1;
+        applied.twice += copies - 1;
         let mut thrown = Vec::new();
         for _ in 0..copies {
             let mut bytes = bytes.to_vec();
             if self.chance(fault.garbled) && !bytes.is_empty() {
                 let at = self.0.random_range(0..bytes.len());
                 bytes[at] ^= 1 << self.0.random_range(0..8);
-                struck.garbled += 1;
+                applied.garbled += 1;
             }
             let mut delay = fault.delay;
             if !fault.jitter.is_zero() {
                 let more = Exp::new(1.0 / fault.jitter.as_secs_f64()).unwrap().sample(&mut self.0);
                 delay += Duration::from_secs_f64(more);
             }
-            struck.late += u64::from(!delay.is_zero());
-            struck.passed += 1;
+            applied.late += u64::from(!delay.is_zero());
+            applied.passed += 1;
             thrown.push((delay, bytes));
         }
         thrown
--- a/fleet/src/load.rs
+++ b/fault-injection/src/load.rs
@@ -3,8 +3,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
-use reedwalk_standins::driver::{End, Idle, Line};
-use reedwalk_standins::mysql::packet;
+use reedwalk_testkit::load_generator::{End, Idle, Line};
+use reedwalk_testkit::mysql::packet;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -43,7 +43,7 @@
 
 /// One request as its client saw it.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestRecord {
     pub at: Instant,
     pub front: usize,
     pub trace: String,
@@ -56,8 +56,8 @@
 
 /// A load that is running, or has.
 #[derive(Clone)]
-pub struct Playing {
-    pub seen: Arc<Mutex<Vec<Asked>>>,
+pub struct RunningLoad {
+    pub seen: Arc<Mutex<Vec<RequestRecord>>>,
     addresses: Arc<Mutex<Vec<Option<SocketAddr>>>>,
     on: Arc<watch::Sender<bool>>,
     open: Arc<AtomicUsize>,
@@ -69,9 +69,9 @@
 
 impl Load {
     /// Plays until it is ended, on the runtime of this handle.
-    pub fn play(&self, addresses: &[SocketAddr], runtime: &Handle) -> Playing {
+    pub fn play(&self, addresses: &[SocketAddr], runtime: &Handle) -> RunningLoad {
         let addresses = addresses.iter().copied().map(Some).collect();
-        let playing = Playing {
+        let playing = RunningLoad {
             seen: Arc::default(),
             addresses: Arc::new(Mutex::new(addresses)),
             on: Arc::new(watch::channel(true).0),
@@ -85,14 +85,14 @@
     }
 }
 
-impl Playing {
+impl RunningLoad {
     /// Clients go to this front end here from now on, or to it no more.
     pub fn place(&self, front: usize, address: Option<SocketAddr>) {
         self.addresses.lock().unwrap()[front] = address;
     }
 
     /// Ends it, and waits until the last request has its end.
-    pub fn end(&self) -> Vec<Asked> {
+    pub fn end(&self) -> Vec<RequestRecord> {
         self.on.send_replace(false);
         let by = Instant::now() + Duration::from_secs(30);
         while self.open.load(Ordering::Acquire) > 0 {
@@ -115,7 +115,7 @@
     unasked: Arc<AtomicUsize>,
 }
 
-async fn at_one(load: Load, front: usize, playing: Playing) {
+async fn at_one(load: Load, front: usize, playing: RunningLoad) {
     let mut rng = StdRng::seed_from_u64(load.seed ^ (front as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15));
     if load.rates[front] <= 0.0 {
         return;
@@ -165,9 +165,9 @@
     drawn: &Drawn,
     address: SocketAddr,
     front: usize,
-    playing: &Playing,
+    playing: &RunningLoad,
     sessions: &Sessions,
-) -> Asked {
+) -> RequestRecord {
     let Drawn { class, work, number } = *drawn;
     let (route, threads) = CLASSES[class];
     let key = (route == "batch-post").then(|| format!("{number:032x}"));
@@ -191,7 +191,7 @@
         };
         let again = end == End::Lost || tries > 1 && end != End::Served;
         if !again || until.is_none_or(|u| Instant::now() >= u) {
-            return Asked { at, front, trace, key, tries, end, took: at.elapsed() };
+            return RequestRecord { at, front, trace, key, tries, end, took: at.elapsed() };
         }
         tokio::time::sleep(RECONNECT_INTERVAL).await;
         address = playing.addresses.lock().unwrap()[front];
--- a/fleet/src/process.rs
+++ b/fault-injection/src/process.rs
@@ -1,7 +1,7 @@
 //! One front end as a process: started, stopped, woken, killed by its id, started again under the same name and address.
 //! Its log is read with times, and what it costs is read from the system.
 
-use reedwalk_standins::config::settings;
+use reedwalk_testkit::config::settings;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
@@ -45,7 +45,7 @@
 }
 
 /// A front end; its process is ended by its id when this is dropped.
-pub struct FrontEnd {
+pub struct GatewayProcess {
     pub told: Told,
     program: Program,
     running: Option<Running>,
@@ -59,7 +59,7 @@
     pub peer: Option<SocketAddr>,
 }
 
-impl Drop for FrontEnd {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         self.kill();
         for kind in ["json", "kdl"] {
@@ -72,7 +72,7 @@
     line.split(name).nth(1)?.split([',', ' ', ')']).next()?.trim().parse().ok()
 }
 
-impl FrontEnd {
+impl GatewayProcess {
     /// A front end that has not been started yet.
     pub fn new(program: Program, told: Told) -> Self {
         let address = "127.0.0.1:0".parse().unwrap();
@@ -92,7 +92,7 @@
         std::fs::write(path, text).unwrap();
     }
 
-    /// Starts its process; [`FrontEnd::ready`] waits until it serves.
+    /// Starts its process; [`GatewayProcess::ready`] waits until it serves.
     pub fn start(&mut self) {
         assert!(self.running.is_none(), "it runs already");
         let mut settings = settings();
--- a/fleet/src/hostile.rs
+++ b/fault-injection/src/rogue_gateway.rs
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-pub struct Hostile {
+pub struct RogueGateway {
     socket: UdpSocket,
     pub address: SocketAddr,
     from: u16,
@@ -23,7 +23,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64
 }
 
-impl Hostile {
+impl RogueGateway {
     /// In the place of this front end, to all others.
     pub fn new(from: usize, others: &[SocketAddr], key: Option<&[u8]>, seed: u64) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
--- a/fleet/src/day/tests.rs
+++ b/fault-injection/src/scenario/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_day_is_read_and_its_events_stand_in_order() {
+fn scenario_is_read_with_events_in_order() {
     let text = "// a day\nday \"lesson\" seed=11 {\n front-ends 20\n engines 10 cores=4\n halls 2\n load rate=480 work=\"100ms\" posts=0.1\n \
         lasts \"12s\"\n at \"5s\" {\n  split 2\n  kill 1 2\n  stop from=3 to=5\n }\n at \"0s\" { links loss=0.3 delay=\"20ms\"; engine 0 \"fails\" }\n \
         at \"8s\" {\n heal\n way 1 3 \"held\"\n }\n}\n";
@@ -13,7 +13,10 @@
     assert_eq!((day.rate, day.work_ms, day.posts, day.lasts.as_secs()), (480.0, 100.0, 0.1, 12));
     let events: Vec<_> = day.events.iter().map(|e| e.1.clone()).collect();
     let links = Fault { loss: 0.3, delay: Duration::from_millis(20), ..Fault::default() };
-    assert_eq!(events[..3], [Event::Links(links), Event::Engine(0, Mood::Failing), Event::Split(2)]);
+    assert_eq!(
+        events[..3],
+        [Event::Links(links), Event::Engine(0, EngineBehavior::Failing), Event::Split(2)]
+    );
     assert_eq!(
         events[3..],
         [Event::Kill(vec![1, 2]), Event::Stop(vec![3, 4, 5]), Event::Heal, Event::Way(1, 3, Way::Held)]
--- a/fleet/src/tcp.rs
+++ b/fault-injection/src/tcp.rs
@@ -72,7 +72,7 @@
     }
 
     /// Connections on which something was held, and that were reset.
-    pub fn struck(&self) -> (u64, u64) {
+    pub fn applied_faults(&self) -> (u64, u64) {
         (self.counts.held.load(Ordering::Relaxed), self.counts.reset.load(Ordering::Relaxed))
     }
 }
--- a/fleet/src/tcp/tests.rs
+++ b/fault-injection/src/tcp/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[tokio::test]
-async fn what_passes_is_unchanged_and_each_fault_is_seen() {
+async fn relay_passes_bytes_unchanged_and_applies_faults() {
     let target = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let relay = TcpRelay::open(target.local_addr().unwrap(), &Handle::current());
     tokio::spawn(async move {
@@ -27,6 +27,6 @@
     relay.set(Flow::reset());
     assert!(echo(relay.address, b"gone").await.is_err());
     // One that was done before may not have been closed yet, and is reset too.
-    let (held, reset) = relay.struck();
+    let (held, reset) = relay.applied_faults();
     assert!(held == 1 && reset >= 1, "{held} {reset}");
 }
--- a/fleet/src/udp.rs
+++ b/fault-injection/src/udp.rs
@@ -1,7 +1,7 @@
-//! The way between front ends: each one is known to all the others by an address of the rig's, through which all that
+//! The way between front ends: each one is known to all the others by an address of the cluster's, through which all that
 //! is sent to it comes. So each direction of each pair has a fault of its own, which may change at any time.
 
-use crate::fault::{Dice, Fault, Struck};
+use crate::fault::{AppliedFaults, Fault, FaultSampler};
 use reedwalk_gossip::SigningKeys;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,8 +11,8 @@
 use tokio::runtime::Handle;
 
 struct Inner {
-    dice: Dice,
-    struck: Struck,
+    sampler: FaultSampler,
+    applied: AppliedFaults,
     usual: Fault,
     pairs: HashMap<(usize, usize), Fault>,
     /// Where nothing passes between those of unlike number.
@@ -50,8 +50,8 @@
         let sockets: Vec<_> = (0..count).map(socket).collect();
         let addresses = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
         let inner = Inner {
-            dice: Dice::new(seed),
-            struck: Struck::default(),
+            sampler: FaultSampler::new(seed),
+            applied: AppliedFaults::default(),
             usual: Fault::default(),
             pairs: HashMap::new(),
             groups: None,
@@ -99,8 +99,8 @@
         self.inner().groups = groups;
     }
 
-    pub fn struck(&self) -> Struck {
-        self.inner().struck
+    pub fn applied_faults(&self) -> AppliedFaults {
+        self.inner().applied
     }
 
     /// The longest datagram that was sent.
@@ -138,7 +138,7 @@
                 let mut inner = self.inner();
                 let inner = &mut *inner;
                 let (Some(&sender), Some(real)) = (inner.from.get(&from), inner.real[to]) else {
-                    inner.struck.unknown += 1;
+                    inner.applied.unknown += 1;
                     continue;
                 };
                 // What can't be read counts beside what its sender sent last.
@@ -149,7 +149,7 @@
                 let apart = inner.groups.as_ref().is_some_and(|g| g[sender] != g[to]);
                 let own = inner.pairs.get(&(sender, to)).copied().unwrap_or(inner.usual);
                 let fault = if apart { Fault::cut() } else { own };
-                (inner.dice.throw(&fault, &buffer[..size], &mut inner.struck), sender, real)
+                (inner.sampler.sample(&fault, &buffer[..size], &mut inner.applied), sender, real)
             };
             for (delay, bytes) in thrown {
                 if delay.is_zero() {
--- a/fleet/tests/rogue.rs
+++ b/fault-injection/tests/rogue.rs
@@ -1,13 +1,13 @@
-//! Each checker of the rig trips on a front end that breaks just its rule: a rogue that speaks to the engines, or to the
+//! Each checker of the cluster trips on a front end that breaks just its rule: a rogue that speaks to the engines, or to the
 //! clients, as a front end does.
 
 use bytes::BytesMut;
-use reedwalk_fleet::Load;
-use reedwalk_standins::model::Shape;
-use reedwalk_standins::mysql::packet;
-use reedwalk_standins::record::{ColdStart, Record};
-use reedwalk_standins::resp::{Modelled, modelled};
-use reedwalk_standins::wire::put_array;
+use reedwalk_fault_injection::Load;
+use reedwalk_testkit::model::Shape;
+use reedwalk_testkit::mysql::packet;
+use reedwalk_testkit::request_log::{Record, SlowStart};
+use reedwalk_testkit::resp::{Modelled, modelled};
+use reedwalk_testkit::wire::put_array;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn one_that_sends_to_a_drained_engine_or_one_attempt_too_many_is_found() {
+async fn sends_after_a_drain_and_excess_attempts_are_detected() {
     let (record, [engine, other]) = engines().await;
     let (mut rogue, mut elsewhere) = (Rogue::at(&engine).await, Rogue::at(&other).await);
     let drained = Instant::now();
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn one_that_has_a_key_out_twice_or_beyond_its_window_is_found() {
+async fn duplicate_and_expired_keys_are_detected() {
     let (record, [engine, other]) = engines().await;
     let (mut rogue, mut elsewhere) = (Rogue::at(&engine).await, Rogue::at(&other).await);
     rogue.send("r1", Some("k"), 0.1).await;
@@ -78,19 +78,19 @@
 }
 
 #[tokio::test]
-async fn one_that_floods_a_cold_engine_is_found_and_the_engine_falls() {
+async fn slow_start_overload_is_detected() {
     let (record, at) = (Record::default(), Instant::now());
     let shape = Shape { cores: 1.0, cold: Some((0.33, 15.0)), ..Shape::default() };
     let engine = modelled("s-0", Some(shape), record.clone()).await;
     let mut rogue = Rogue::at(&engine).await;
     let (engine, from, ramp) = ("s-0".into(), 0.33, 15 * SECOND);
-    let start = ColdStart { engine, at, cores: 1.0, from, ramp, window: SECOND, multiple: 2.5 };
+    let start = SlowStart { engine, at, cores: 1.0, from, ramp, window: SECOND, multiple: 2.5 };
     for trace in ["r1", "r2", "r3"] {
         rogue.send(trace, None, 400.0).await;
     }
     rogue.answer().await;
-    assert_eq!(record.cold_overruns(&start), 1);
-    assert!(record.cold_peak(&start) > 1.0);
+    assert_eq!(record.slow_start_overruns(&start), 1);
+    assert!(record.slow_start_peak(&start) > 1.0);
 }
 
 /// A front end that answers each query so often.
@@ -126,7 +126,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_that_answers_twice_is_found() {
+async fn duplicate_answers_are_detected() {
     for (times, found) in [(1, false), (2, true)] {
         let address = answers(times).await;
         let playing = Load::lookups(1, 100.0, 1.0, 7).play(&[address], &tokio::runtime::Handle::current());
--- a/gateway/src/broker/mod.rs
+++ b/gateway/src/broker/mod.rs
@@ -68,7 +68,7 @@
     pub phase: watch::Receiver<Phase>,
     /// The store in which gateways share idempotency keys, if they do.
     pub shared_store: Option<Arc<SharedStoreClient>>,
-    /// Where other gateways are told what is found out here, if they are.
+    /// Reports for other gateways, if gossip is on.
     pub gossip: Option<GossipHandle>,
 }
 
@@ -77,7 +77,7 @@
 pub struct BrokerOptions {
     /// The teams' quotas, if there are any.
     pub quotas: Option<Arc<QuotaManager>>,
-    /// Persisted state, if any is kept.
+    /// Events to be persisted, if persistence is on.
     pub recovery: Option<RecoverySetup>,
 }
 
--- a/gateway/src/broker/packed_rows/tests.rs
+++ b/gateway/src/broker/packed_rows/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_result_that_is_kept_comes_back_as_it_was_and_a_large_one_is_not_kept() {
+fn packed_result_round_trips_and_a_large_one_is_not_stored() {
     let cell = |text: &'static str| Some(Bytes::from_static(text.as_bytes()));
     let rows = Rows {
         columns: 3,
--- a/gateway/src/console/line/tests.rs
+++ b/gateway/src/console/line/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_call_has_one_form() {
+fn each_command_has_one_form() {
     assert_eq!(read_command(b"HEALTH"), Ok(Command::Health));
     assert_eq!(read_command(b"DUMP"), Ok(Command::Dump));
     assert_eq!(read_command(b"OFFLINE s-00c41f7a"), Ok(Command::Offline("s-00c41f7a".into())));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_line_is_whole_at_its_end_and_never_past_the_limit() {
+fn line_ends_within_its_limit() {
     assert_eq!(whole_line(b"HEAL"), Ok(None));
     assert_eq!(whole_line(b"HEALTH\nDUMP\n"), Ok(Some(&b"HEALTH"[..])));
     assert_eq!(whole_line(b"HEALTH\r\n"), Ok(Some(&b"HEALTH"[..])));
--- a/gateway/src/discovery/dns.rs
+++ b/gateway/src/discovery/dns.rs
@@ -23,7 +23,7 @@
     Truncated,
     /// The server reports an error.
     Code(u16),
-    /// It bears no serial.
+    /// It has no serial.
     NoSerial,
 }
 
--- a/gateway/src/discovery/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -21,12 +21,12 @@
 /// Answers to so many of the latest queries are accepted: a slow answer tells as much as a quick one, and the serial
 /// keeps an old one from undoing a new one.
 const MAX_OPEN_QUERIES: usize = 16;
-/// Without a valid answer for so long, the name server is logged as out of reach.
+/// Without a valid answer for this long the name server is logged as unreachable.
 const SILENCE_LOG_THRESHOLD: Duration = Duration::from_secs(2);
 /// Without a valid answer for so long, it is polled from a new socket as well: a network path that has gone silent once
 /// may stay so for good.
 const SOCKET_RENEWAL_THRESHOLD: Duration = Duration::from_secs(1);
-/// Late answers may still come to the sockets before; so many sockets in all.
+/// Late answers may still arrive at earlier sockets; this many sockets are open at most.
 const MAX_SOCKETS: usize = 4;
 /// Answers have up to 8,000 bytes.
 const MAX_ANSWER_BYTES: usize = 9000;
--- a/gateway/src/drain_guard.rs
+++ b/gateway/src/drain_guard.rs
@@ -15,7 +15,7 @@
 }
 
 impl Default for DrainGuard {
-    /// A guard that nobody closes.
+    /// A guard that is never closed.
     fn default() -> Self {
         Self { fence: DrainFence::default(), epoch: Instant::now() }
     }
--- a/gateway/src/engine/pool/tests.rs
+++ b/gateway/src/engine/pool/tests.rs
@@ -64,7 +64,7 @@
 const REPORT_INTERVAL: Option<Duration> = Some(Duration::from_millis(500));
 
 #[test]
-fn a_connection_is_shared_up_to_its_limit() {
+fn connection_is_shared_up_to_its_limit() {
     let (mut pool, now) = (pool(REPORT_INTERVAL), Instant::now());
     let opened: Vec<_> =
         ["a", "b", "c", "d"].into_iter().zip(0..).map(|(t, k)| pick(&mut pool, k, t, now)).collect();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn all_engines_together_keep_to_their_share_of_descriptors() {
+fn all_engines_together_keep_to_the_descriptor_limit() {
     let (mut pool, now) = (pool(REPORT_INTERVAL), Instant::now());
     let found: Vec<_> = ["a", "b", "c", "d", "e", "f", "g"]
         .into_iter()
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn an_id_that_is_out_or_was_given_up_does_not_share_its_connection() {
+fn trace_id_in_flight_or_cancelled_is_not_reused_on_its_connection() {
     let (mut pool, now) = (pool(REPORT_INTERVAL), Instant::now());
     assert_eq!(pick(&mut pool, 0, "a", now), (true, 1));
     pool.release(AttemptId(0), true);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn silence_counts_where_notes_are_missed_and_not_where_there_are_none() {
+fn silence_counts_only_where_progress_reports_are_missed() {
     let later = Duration::from_secs(2);
     let (mut told, mut untold, now) = (pool(REPORT_INTERVAL), pool(None), Instant::now());
     for pool in [&mut told, &mut untold] {
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_connection_about_to_be_closed_as_idle_is_not_used() {
+fn connection_near_its_idle_timeout_is_not_used() {
     let (mut pool, now) = (pool(REPORT_INTERVAL), Instant::now());
     assert_eq!(pick(&mut pool, 0, "a", now), (true, 1));
     pool.release(AttemptId(0), false);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn an_engine_that_is_gone_takes_nothing_and_is_forgotten_when_its_work_has_ended() {
+fn removed_engine_takes_nothing_and_is_dropped_with_its_last_attempt() {
     let (mut pool, now) = (pool(REPORT_INTERVAL), Instant::now());
     assert_eq!(pick(&mut pool, 0, "a", now), (true, 1));
     pool.set_endpoint(ENGINE, None);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn an_id_that_was_given_up_stays_spent_for_as_long_as_its_request_may_last() {
+fn cancelled_id_stays_blocked_until_its_deadline() {
     let (mut pool, now) = (pool(None), Instant::now());
     assert_eq!(pick(&mut pool, 0, "a", now), (true, 1));
     pool.release(AttemptId(0), true);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn an_id_that_was_answered_is_not_used_at_once_on_its_connection() {
+fn answered_id_is_not_reused_at_once() {
     let (mut pool, now) = (pool(REPORT_INTERVAL), Instant::now());
     assert_eq!(pick(&mut pool, 0, "a", now), (true, 1));
     pool.release(AttemptId(0), false);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn what_a_connection_remembers_of_ids_is_bounded() {
+fn remembered_ids_are_bounded() {
     let (mut pool, now) = (pool(None), Instant::now());
     for key in 0..MAX_CANCELLED_IDS as u64 {
         assert_eq!(pick(&mut pool, key, &format!("a{key}"), now), (true, 1));
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn connections_are_used_again_however_short_they_may_be_idle() {
+fn connections_are_reused_with_any_keepalive() {
     let (mut pool, now) = (pool_with_keepalive(Duration::from_millis(800), REPORT_INTERVAL), Instant::now());
     assert_eq!(pick(&mut pool, 0, "a", now), (true, 1));
     pool.release(AttemptId(0), false);
--- a/gateway/src/engine/resp/connection.rs
+++ b/gateway/src/engine/resp/connection.rs
@@ -1,5 +1,5 @@
 //! One connection to an engine: a task that writes commands and reads answers, for many attempts at a time. What it does
-//! with an answer stands in `answers.rs`.
+//! with an answer is in `answers.rs`.
 
 use super::wire::{self, Reply};
 use super::write_queue::{WriteQueue, Written};
@@ -29,7 +29,7 @@
 /// Bytes that the read buffer has at first.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What a connection's task is told.
+/// A command for a connection's task.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Start an attempt, if its drain guard is open when its turn to be written comes.
@@ -56,7 +56,7 @@
 
 /// How a connection that was up has ended.
 enum ConnectionEnd {
-    /// The engine closed or reset it, or nobody wants it any more.
+    /// The engine closed or reset it, or the transport dropped it.
     Broken,
     /// The engine sent what can't be read, or half of an answer and no more. Tells whether one attempt has failed for
     /// that already.
--- a/gateway/src/engine/resp/tests.rs
+++ b/gateway/src/engine/resp/tests.rs
@@ -108,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn an_order_given_up_while_its_connection_comes_up_is_never_written() {
+async fn attempt_cancelled_while_connecting_is_never_written() {
     let link = link().await;
     link.commands.try_send(start(&attempt(1, STOPPED, 10))).unwrap();
     link.commands.try_send(Command::SetPriority(AttemptId(1), 2)).unwrap();
@@ -120,7 +120,7 @@
 }
 
 #[tokio::test]
-async fn the_same_where_the_word_came_after_the_order_had_gone_out_is_a_kill() {
+async fn attempt_cancelled_after_it_was_written_is_killed() {
     let link = link().await;
     link.commands.try_send(start(&attempt(1, STOPPED, 10))).unwrap();
     let (mut engine, commands, _news) = link.up().await;
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn what_its_client_has_left_is_not_written_though_no_word_of_it_has_come() {
+async fn attempt_of_disconnected_client_is_never_written() {
     let link = link().await;
     let left = attempt(1, STOPPED, 10);
     link.commands.try_send(start(&left)).unwrap();
@@ -144,7 +144,7 @@
 }
 
 #[tokio::test]
-async fn an_order_whose_time_to_be_written_is_over_is_not() {
+async fn attempt_past_its_write_deadline_is_never_written() {
     let link = link().await;
     let late = AttemptRequest { write_deadline: Instant::now(), ..attempt(1, STOPPED, 10) };
     link.commands.try_send(start(&late)).unwrap();
@@ -167,7 +167,7 @@
 }
 
 #[tokio::test]
-async fn an_attempt_counts_as_given_up_once_its_engine_has_been_told() {
+async fn cancel_is_confirmed_once_the_engine_was_told() {
     const LARGE: usize = 64 << 20;
     let link = link().await;
     link.commands.try_send(start(&attempt(1, STOPPED, 10))).unwrap();
@@ -184,7 +184,7 @@
 }
 
 #[tokio::test]
-async fn it_does_at_once_where_it_was_never_sent_and_where_its_connection_ends() {
+async fn cancel_is_confirmed_at_once_if_never_sent_or_the_connection_ends() {
     let link = link().await;
     link.commands.try_send(start(&attempt(1, STOPPED, 10))).unwrap();
     link.commands.try_send(Command::Cancel(AttemptId(1))).unwrap();
@@ -198,7 +198,7 @@
 }
 
 #[tokio::test]
-async fn an_order_that_has_begun_to_be_written_is_written_whole_and_then_killed() {
+async fn partly_written_attempt_is_completed_and_then_killed() {
     const LARGE: usize = 64 << 20;
     let link = link().await;
     link.commands.try_send(start(&attempt(1, STOPPED, LARGE))).unwrap();
@@ -215,7 +215,7 @@
 }
 
 #[tokio::test]
-async fn an_order_that_meets_a_connection_closed_by_its_engine_never_ran() {
+async fn attempt_on_a_connection_closed_by_its_engine_never_ran() {
     let link = link().await;
     let (engine, commands, mut news) = link.up().await;
     let closed = engine.into_std().unwrap();
@@ -226,7 +226,7 @@
 }
 
 #[tokio::test]
-async fn a_whole_answer_is_taken_though_commands_keep_coming() {
+async fn complete_answer_is_read_under_a_stream_of_commands() {
     let link = link().await;
     link.commands.try_send(start(&attempt(1, WANTED, 10))).unwrap();
     let (mut engine, commands, mut news) = link.up().await;
--- a/gateway/src/front/flight/result.rs
+++ b/gateway/src/front/flight/result.rs
@@ -1,4 +1,4 @@
-//! Answers as gRPC has them: rows as record batches, refusals and failures as statuses.
+//! Responses for gRPC: rows as record batches, rejections and failures as statuses.
 
 use crate::message::{Failure, Rejection, Rows};
 use arrow_array::{ArrayRef, BinaryArray, RecordBatch, StringArray};
@@ -8,7 +8,7 @@
 use tonic::{Code, Status};
 use tonic_types::{ErrorDetails, StatusExt};
 
-/// Who tells the reason in an error's details.
+/// The domain of the reasons in error details.
 const DOMAIN: &str = "reedwalk";
 
 /// The rows as record batches: as their engine sent them, if it spoke Arrow, or as columns of text (of bytes,
@@ -47,7 +47,7 @@
     }
 }
 
-/// A refusal: trying again is harmless, after the time that the details tell.
+/// A rejection: a retry is harmless, after the time in the details.
 pub fn rejected(reason: Rejection, retry_after: Option<Duration>) -> Status {
     let mut details = ErrorDetails::new();
     details.set_error_info(
--- a/gateway/src/front/mysql/close.rs
+++ b/gateway/src/front/mysql/close.rs
@@ -9,7 +9,7 @@
 
 /// Bytes that are read so at most: who sends more is reset.
 const MAX_READ_BYTES: usize = 1 << 20;
-/// The same where nobody waits for them.
+/// The same where the client is not waited for.
 const MAX_READY_BYTES: usize = 16 * 1024;
 /// Bytes that are read at a time.
 const CHUNK: usize = 4 * 1024;
--- a/gateway/src/front/mysql/connection_ids.rs
+++ b/gateway/src/front/mysql/connection_ids.rs
@@ -6,7 +6,7 @@
 const STEP: u32 = 0x9E37_79B9;
 
 /// A sequence of connection ids. Two processes may serve at one address, and a KILL QUERY meant for one reach the other:
-/// each starts at an id that the system draws at random, so that the kill meets nobody there.
+/// each starts at an id that the system draws at random, so that the kill finds no query there.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionIds(u32);
 
--- a/gateway/src/front/mysql/fields.rs
+++ b/gateway/src/front/mysql/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of a request, which stand in a comment before its statement. Pure functions.
+//! The fields of a request, in a comment before its statement. Pure functions.
 
 use crate::front::sql::comment_length;
 use crate::front::{MAX_MEMORY_MB, MAX_WORK_MS};
@@ -12,7 +12,7 @@
 /// Hexadecimal digits of a trace id.
 const TRACE_ID_DIGITS: usize = 16;
 
-/// The fields of a request, as they stand in the comment before its statement.
+/// The fields of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fields {
     /// The class's name; `route` on the wire.
--- a/gateway/src/front/mysql/packet.rs
+++ b/gateway/src/front/mysql/packet.rs
@@ -92,7 +92,7 @@
         self.sequence = self.sequence.wrapping_add(1);
     }
 
-    /// The greeting, which bears the connection's id.
+    /// The greeting, with the connection's id.
     pub fn greeting(&mut self, connection: u32, scramble: [u8; 20]) {
         self.packet(|out| {
             out.put_u8(10);
--- a/gateway/src/front/mysql/session_slots/tests.rs
+++ b/gateway/src/front/mysql/session_slots/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_longest_idle_is_evicted_and_the_busy_stay() {
+fn longest_idle_session_is_evicted_and_busy_ones_stay() {
     let (slots, start) = (Arc::new(SessionSlots::new(4, 0)), Instant::now());
     let stages = [
         SessionState::Busy,
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn silent_unproven_sessions_evict_each_other_and_not_those_who_have_logged_in() {
+fn unproven_sessions_evict_each_other_before_idle_ones() {
     let (slots, start) = (Arc::new(SessionSlots::new(8, 0)), Instant::now());
     let usual = acquire(&slots, 0..1, start);
     usual[0].as_ref().unwrap().set_state(SessionState::Idle(start));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn where_all_are_busy_the_newcomer_is_refused() {
+fn new_session_is_refused_when_all_are_busy() {
     let (slots, start) = (Arc::new(SessionSlots::new(2, 0)), Instant::now());
     let held: Vec<_> = (0..2)
         .map(|id| {
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn large_statements_share_their_memory_and_give_it_back() {
+fn large_statements_share_bounded_memory() {
     let slots = Arc::new(SessionSlots::new(2, 100_000));
     let slot = slots.acquire(0, Instant::now()).unwrap();
     let first = slot.reserve(90_000).unwrap();
--- a/gateway/src/gossip/mod.rs
+++ b/gateway/src/gossip/mod.rs
@@ -34,7 +34,7 @@
     pub line: usize,
 }
 
-/// What an operator's file says of gossip.
+/// The settings of gossip in an operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipOptions {
     /// The line of the block.
--- a/gateway/src/gossip/task.rs
+++ b/gateway/src/gossip/task.rs
@@ -75,7 +75,7 @@
 }
 
 impl GossipTask {
-    /// A task that has heard of nobody yet.
+    /// A task that has received no datagram yet.
     pub fn new(group: GossipGroup, context: GossipContext, log: Logger) -> Self {
         let started_ms = unix_ms();
         let count = group.addresses.len();
--- a/gateway/src/hot_restart.rs
+++ b/gateway/src/hot_restart.rs
@@ -39,7 +39,7 @@
     log: Logger,
 }
 
-/// The stage as it stands in the file.
+/// The stage as it is written in the file.
 fn stage_text(stage: ProcessStage) -> &'static [u8; STAGE_BYTES] {
     match stage {
         ProcessStage::Starting => b"starting",
@@ -48,7 +48,7 @@
     }
 }
 
-/// The stage that stands in a file. One that can't be read was caught in its first write.
+/// The stage that a file holds. One that can't be read is being written for the first time.
 fn read_stage(bytes: &[u8]) -> ProcessStage {
     let stages = [ProcessStage::Serving, ProcessStage::Closing];
     stages.into_iter().find(|stage| stage_text(*stage) == bytes).unwrap_or(ProcessStage::Starting)
--- a/gateway/src/message/endpoint.rs
+++ b/gateway/src/message/endpoint.rs
@@ -18,7 +18,7 @@
 pub struct EndpointUpdate {
     /// The endpoint as it is now.
     pub endpoint: Endpoint,
-    /// Tells connections whether they may still write to it.
+    /// Shows connections whether they may still write to it.
     pub drain_guard: DrainGuard,
 }
 
@@ -27,6 +27,6 @@
 pub struct EngineAddress {
     /// Where it listens.
     pub address: SocketAddr,
-    /// Tells connections whether they may still write to it.
+    /// Shows connections whether they may still write to it.
     pub drain_guard: DrainGuard,
 }
--- a/gateway/src/message/event.rs
+++ b/gateway/src/message/event.rs
@@ -108,7 +108,7 @@
     AttemptFailed,
 }
 
-/// Where the broker leaves what other gateways are told.
+/// Where the broker leaves reports for other gateways.
 #[derive(Clone, Debug)]
 pub struct GossipHandle {
     /// Outlier reports, each as it is made.
--- a/gateway/src/multicore.rs
+++ b/gateway/src/multicore.rs
@@ -1,5 +1,5 @@
 //! The runtimes that a gateway runs on. Each core is a thread with a runtime of its own; core 0 runs the broker, and
-//! connections live on whichever core `reedwalk-cores` places them. With one core all of it is the caller's runtime.
+//! connections live on whichever core `reedwalk-multicore` places them. With one core all of it is the caller's runtime.
 
 use reedwalk_multicore::{Change, ConnectionLoad, LoadTable, StallDetector, shares};
 use slog::{Logger, error, info, warn};
@@ -15,12 +15,12 @@
 
 /// How often each core writes its heartbeat, and how often that is checked.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// A core with no heartbeat for so long has stalled.
+/// A core without a heartbeat for this long has stalled.
 const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Descriptors that a core needs at least: its own, and connections worth a core.
 pub const MIN_DESCRIPTORS_PER_CORE: usize = 64;
 
-/// What a core's thread tells whoever watches it.
+/// The heartbeat of a core's thread, for the task that watches it.
 #[derive(Debug)]
 struct Heartbeat {
     /// Microseconds from the start of all cores.
@@ -78,7 +78,7 @@
         }))
     }
 
-    /// So many cores; up to one is [`Multicore::single`].
+    /// Starts `count` cores; up to one is [`Multicore::single`].
     ///
     /// # Errors
     /// Where a thread or its runtime can't be started.
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Runs a task on a core, beside what is there.
+    /// Runs a task on a core.
     pub fn spawn_on(&self, core: usize, task: impl Future<Output = ()> + Send + 'static) {
         if let Some(core) = self.0.cores.get(core) {
             core.handle.spawn(task);
@@ -259,7 +259,7 @@
                 }
             }
         });
-        // What ran here is dropped before the end is marked: whoever hears of it finds that all its attempts have
+        // What ran here is dropped before the end is marked: a task that learns of it finds that all its attempts have
         // reported their ends.
         drop(runtime);
         drop(mark_ended);
--- a/gateway/src/persistence/mod.rs
+++ b/gateway/src/persistence/mod.rs
@@ -12,7 +12,7 @@
 
 use std::path::PathBuf;
 
-/// What an operator's file says of persistence.
+/// The settings of persistence in an operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PersistenceOptions {
     /// The folder.
--- a/gateway/src/persistence/restore.rs
+++ b/gateway/src/persistence/restore.rs
@@ -68,7 +68,7 @@
     names.iter().map(stats).collect()
 }
 
-/// What the broker is told of the engines of a snapshot, as far as they have not restarted since.
+/// The events for the broker on the engines of a snapshot that have not restarted since.
 pub fn restored_observations(
     snapshot: &Snapshot,
     registry: &EndpointRegistry,
--- a/gateway/src/quotas.rs
+++ b/gateway/src/quotas.rs
@@ -1,5 +1,5 @@
 //! Quotas of teams: which team may send requests of which classes, and how much in a window. The broker checks them
-//! before the scheduler hears of a request.
+//! before the scheduler learns of a request.
 
 use crate::message::{Charge, QuotaDecision, QuotaRequest, Rejection};
 use crate::shared_store::client::SharedStoreClient;
@@ -14,7 +14,7 @@
 
 /// How long returning units to the shared store may take; later they are lost to the window.
 const RETURN_TIMEOUT: Duration = Duration::from_millis(100);
-/// How often leases are checked for units that nobody uses.
+/// How often leases are checked for unused units.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a quota's key outlives its window, in milliseconds: the clocks of gateways differ a little.
 const KEY_TTL_PAST_WINDOW_MS: u64 = 5_000;
@@ -32,7 +32,7 @@
     pub budget: u64,
     /// The window's length.
     pub window_ms: u64,
-    /// Units that a request of a class costs; 1 where nothing is said.
+    /// Units that a request of a class costs; 1 for classes that are not listed.
     pub cost: HashMap<String, u64>,
 }
 
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Returns units that nobody uses to the shared store, for as long as the program runs.
+    /// Returns unused units to the shared store, for as long as the process runs.
     pub async fn run(self: Arc<Self>) {
         let Some(store) = self.store.clone() else { return };
         loop {
--- a/gateway/src/shared_store/options.rs
+++ b/gateway/src/shared_store/options.rs
@@ -1,4 +1,4 @@
-//! What an operator's file says of the shared store beside its address.
+//! The settings of the shared store in an operator's file, apart from its address.
 
 use std::time::Duration;
 
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! What the platform says to the running program: SIGTERM announces a planned restart, SIGHUP a new configuration.
+//! Signals to the running process, and its shutdown: SIGTERM announces a planned restart, SIGHUP a new configuration.
 
 use std::time::Duration;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -10,28 +10,28 @@
 
 /// The platform counts a longest deadline as no more than this, and ends the process 0.7 s after that at the soonest.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// So long after the longest deadline, counted so, what is still open is answered.
+/// Requests that are still open this long after the longest deadline are answered.
 const ANSWER_MARGIN: Duration = Duration::from_millis(600);
-/// So long after it the process ends, whether all clients have taken their answers or not.
+/// The process ends this long after it, whether all clients have read their answers or not.
 const EXIT_MARGIN: Duration = Duration::from_millis(660);
 
-/// How far the end has come.
+/// The phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Serving.
     Open,
-    /// Told to end; what is new is still accepted.
+    /// Asked to shut down; new connections and requests are still accepted.
     Ending(ShutdownDeadlines),
-    /// Nothing new is accepted; what is taken is finished, and idle sessions close.
+    /// Nothing new is accepted; accepted requests are finished, and idle sessions close.
     Closing(ShutdownDeadlines),
 }
 
-/// When the end is to be reached: what SIGKILL finds unanswered is lost.
+/// The deadlines of a shutdown: what SIGKILL finds unanswered is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownDeadlines {
-    /// By then each request has its answer, its own deadline aside.
+    /// When each request must have its answer, whatever its own deadline.
     pub answered: Instant,
-    /// Then the process is gone.
+    /// When the process must have ended.
     pub gone: Instant,
 }
 
@@ -44,7 +44,7 @@
 }
 
 impl Phase {
-    /// When the end is to be reached, if one is near.
+    /// The deadlines, if the process is shutting down.
     pub fn end(self) -> Option<ShutdownDeadlines> {
         match self {
             Self::Open => None,
@@ -53,7 +53,7 @@
     }
 }
 
-/// The signals that the program listens to. From the moment this is made none of them ends it.
+/// The signals that the process handles. Once this exists none of them ends it.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -83,7 +83,7 @@
         })
     }
 
-    /// Waits for the next one. Several of a kind that came meanwhile count as one.
+    /// Waits for the next signal. Several of a kind that arrived meanwhile count as one.
     pub async fn next(&mut self) -> SignalRequest {
         tokio::select! {
             _ = self.terminate.recv() => SignalRequest::Shutdown,
--- a/gateway/tests/broker.rs
+++ b/gateway/tests/broker.rs
@@ -96,7 +96,7 @@
 }
 
 /// A broker at work, with no engines listed yet.
-struct Rig {
+struct Cluster {
     queue: mpsc::Sender<BrokerEvent>,
     request_queue: RequestQueue,
     endpoints: EndpointMailbox,
@@ -107,11 +107,11 @@
     _open: watch::Sender<Phase>,
 }
 
-fn rig(deeds: Deeds) -> Rig {
+fn cluster(deeds: Deeds) -> Cluster {
     start(deeds, &support::settings(), None)
 }
 
-fn start(deeds: Deeds, settings: &serde_json::Value, stopped: Option<Arc<Mutex<Vec<AttemptId>>>>) -> Rig {
+fn start(deeds: Deeds, settings: &serde_json::Value, stopped: Option<Arc<Mutex<Vec<AttemptId>>>>) -> Cluster {
     let deployment = reedwalk_settings::read(settings).unwrap();
     let (queue, inputs) = mpsc::channel(QUEUE_CAPACITY);
     let orders = Orders::default();
@@ -135,7 +135,7 @@
         Broker::new(gateway, engines, &deployment, options, context, queue.clone(), log).run(inputs),
     );
     let request_queue = RequestQueue::new(queue.clone(), metrics.clone());
-    Rig { queue, request_queue, endpoints, orders, metrics, _alone, _open }
+    Cluster { queue, request_queue, endpoints, orders, metrics, _alone, _open }
 }
 
 /// Three engines in service.
@@ -146,10 +146,10 @@
 }
 
 async fn play(requests: Vec<(usize, u64, u64)>, deeds: Deeds) {
-    let rig = rig(deeds);
-    list(&rig.endpoints);
+    let cluster = cluster(deeds);
+    list(&cluster.endpoints);
     let (request_queue, metrics, orders, start) =
-        (&rig.request_queue, &rig.metrics, &rig.orders, Instant::now());
+        (&cluster.request_queue, &cluster.metrics, &cluster.orders, Instant::now());
     let waits = requests.into_iter().enumerate().map(|(n, (class, at, patience))| {
         let request_queue = request_queue.clone();
         tokio::spawn(async move {
@@ -195,7 +195,7 @@
 }
 
 #[tokio::test]
-async fn a_full_queue_refuses_at_once_and_says_when_to_come_back() {
+async fn full_queue_rejects_at_once_with_retry_after() {
     let (queue, _inputs) = mpsc::channel(1);
     let request_queue = RequestQueue::new(queue, Arc::default());
     let _first = request_queue.submit(request(1, 0, Instant::now())).unwrap();
@@ -204,83 +204,90 @@
 }
 
 /// Two requests are held with no engine to go to, and the first one's client leaves while there is no room for the word.
-async fn left_unheard_of() -> (Rig, PendingResponse, Instant) {
-    let rig = rig(vec![(0, 10)]);
+async fn left_unheard_of() -> (Cluster, PendingResponse, Instant) {
+    let cluster = cluster(vec![(0, 10)]);
     let deadline = Instant::now() + Duration::from_secs(3);
-    let left = rig.request_queue.submit(request(1, 0, deadline)).unwrap();
-    let stays = rig.request_queue.submit(request(2, 0, deadline)).unwrap();
+    let left = cluster.request_queue.submit(request(1, 0, deadline)).unwrap();
+    let stays = cluster.request_queue.submit(request(2, 0, deadline)).unwrap();
     sleep(Duration::from_millis(20)).await;
     // The broker has no turn between these lines.
-    while rig.queue.try_send(BrokerEvent::LiveGateways(1.0)).is_ok() {}
+    while cluster.queue.try_send(BrokerEvent::LiveGateways(1.0)).is_ok() {}
     drop(left);
-    (rig, stays, deadline)
+    (cluster, stays, deadline)
 }
 
-fn traces(rig: &Rig) -> Vec<Bytes> {
-    rig.orders.lock().unwrap().iter().map(|o| o.0.trace_id.clone()).collect()
+fn traces(cluster: &Cluster) -> Vec<Bytes> {
+    cluster.orders.lock().unwrap().iter().map(|o| o.0.trace_id.clone()).collect()
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_client_that_leaves_while_the_queue_is_full_is_noticed_all_the_same() {
-    let (rig, mut stays, deadline) = left_unheard_of().await;
+async fn disconnect_is_noticed_while_the_queue_is_full() {
+    let (cluster, mut stays, deadline) = left_unheard_of().await;
     // Well before the module gives up waiting for an engine.
     sleep(Duration::from_millis(100)).await;
     // Nothing holds on to it: its id may be used again.
-    let mut again = rig.request_queue.submit(request(1, 0, deadline)).unwrap();
-    list(&rig.endpoints);
+    let mut again = cluster.request_queue.submit(request(1, 0, deadline)).unwrap();
+    list(&cluster.endpoints);
     assert!(matches!(stays.response().await, Some(Response::Served(_))), "held for the one that stays");
     assert!(
         matches!(again.response().await, Some(Response::Served(_))),
         "its id was held for one that had left"
     );
-    assert_eq!(traces(&rig).len(), 2);
+    assert_eq!(traces(&cluster).len(), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn nothing_is_sent_for_it_in_the_moment_before_that_either() {
-    let (rig, mut stays, _) = left_unheard_of().await;
-    list(&rig.endpoints);
+async fn nothing_is_sent_for_a_disconnected_client_before_it_is_noticed() {
+    let (cluster, mut stays, _) = left_unheard_of().await;
+    list(&cluster.endpoints);
     assert!(matches!(stays.response().await, Some(Response::Served(_))));
-    assert_eq!(traces(&rig), [Bytes::from(format!("{:016x}", 2))]);
+    assert_eq!(traces(&cluster), [Bytes::from(format!("{:016x}", 2))]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn where_no_second_copy_is_allowed_the_next_attempt_waits_until_the_last_ones_engine_was_told() {
+async fn without_second_copies_a_retry_waits_for_the_cancel_confirmation() {
     for second_copies in [false, true] {
         let mut settings = support::settings();
         settings["Limits"]["SecondCopies"] = second_copies.into();
         let stopped = Arc::new(Mutex::new(Vec::new()));
         // The first engine says nothing, and its attempt is called off; the next one serves.
-        let rig = start(vec![(9, 0), (0, 10)], &settings, Some(stopped.clone()));
-        list(&rig.endpoints);
+        let cluster = start(vec![(9, 0), (0, 10)], &settings, Some(stopped.clone()));
+        list(&cluster.endpoints);
         let deadline = Instant::now() + Duration::from_secs(6);
-        let mut pending = rig.request_queue.submit(request(1, 0, deadline)).unwrap();
+        let mut pending = cluster.request_queue.submit(request(1, 0, deadline)).unwrap();
         while stopped.lock().unwrap().is_empty() {
             assert!(Instant::now() < deadline, "never called off");
             sleep(Duration::from_millis(5)).await;
         }
         sleep(Duration::from_millis(100)).await;
-        assert_eq!(traces(&rig).len(), if second_copies { 2 } else { 1 }, "second copies {second_copies}");
+        assert_eq!(
+            traces(&cluster).len(),
+            if second_copies { 2 } else { 1 },
+            "second copies {second_copies}"
+        );
         let key = stopped.lock().unwrap()[0];
-        rig.queue.try_send(BrokerEvent::Attempt { id: key, event: AttemptEvent::CancelConfirmed }).unwrap();
+        cluster
+            .queue
+            .try_send(BrokerEvent::Attempt { id: key, event: AttemptEvent::CancelConfirmed })
+            .unwrap();
         assert!(matches!(pending.response().await, Some(Response::Served(_))));
-        assert_eq!(traces(&rig).len(), 2);
+        assert_eq!(traces(&cluster).len(), 2);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_engine_that_can_never_be_told_holds_up_no_answer() {
+async fn unconfirmed_cancel_delays_no_answer() {
     let stopped = Arc::new(Mutex::new(Vec::new()));
-    let rig = start(vec![(9, 0)], &support::settings(), Some(stopped));
-    list(&rig.endpoints);
+    let cluster = start(vec![(9, 0)], &support::settings(), Some(stopped));
+    list(&cluster.endpoints);
     let deadline = Instant::now() + Duration::from_secs(4);
-    let mut pending = rig.request_queue.submit(request(1, 0, deadline)).unwrap();
+    let mut pending = cluster.request_queue.submit(request(1, 0, deadline)).unwrap();
     assert!(pending.response().await.is_some());
     assert!(Instant::now() <= deadline + Duration::from_millis(20));
-    assert_eq!(traces(&rig).len(), 1);
+    assert_eq!(traces(&cluster).len(), 1);
     // Nothing of it is held on to: its id may be used again.
     sleep(Duration::from_millis(100)).await;
     let again = Instant::now() + Duration::from_secs(1);
-    let mut pending = rig.request_queue.submit(request(1, 0, again)).unwrap();
+    let mut pending = cluster.request_queue.submit(request(1, 0, again)).unwrap();
     assert!(!matches!(pending.response().await, Some(Response::Failed(Failure::IdInUse))));
 }
--- a/gateway/tests/closing.rs
+++ b/gateway/tests/closing.rs
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn what_was_answered_last_arrives_whatever_was_sent_behind_it() {
+async fn last_answer_arrives_despite_unread_input() {
     let world = World::default();
     let gateway = with_engines(&world).await;
     let (behind, quit) = (vec![0; MUCH], packet(0, &[1]));
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn whoever_is_turned_away_learns_of_it_whatever_it_has_sent() {
+async fn refused_client_reads_why_despite_unread_input() {
     let world = World::default();
     let engines = [resp::engine("a", world.clone()).await];
     let mut config = config(&engines);
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_crosses_our_close_is_not_sent_on_and_meets_no_reset() {
+async fn request_crossing_a_close_is_not_forwarded_and_not_reset() {
     let world = World::default();
     let gateway = with_engines(&world).await;
     let mut resting = Client::connect(gateway.mysql).await;
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_came_before_our_close_is_served() {
+async fn request_received_before_a_close_is_served() {
     let world = World::default();
     let gateway = with_engines(&world).await;
     let mut resting = Client::connect(gateway.mysql).await;
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn who_sends_much_ahead_gets_its_query_failed_and_the_query_is_given_up() {
+async fn client_sending_far_ahead_has_its_query_cancelled() {
     let world = World::default();
     let gateway = with_engines(&world).await;
     let mut client = Client::connect(gateway.mysql).await;
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn a_kill_that_reaches_the_other_process_of_a_front_end_ends_nobody_there() {
+async fn kill_query_in_the_other_process_ends_nothing() {
     // Two processes at one address: each has its own sessions, opened in the same order.
     let world = World::default();
     let (one, other) = (with_engines(&world).await, with_engines(&world).await);
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn a_kill_and_its_query_that_lie_there_together_meet_in_either_order() {
+async fn kill_query_and_its_query_meet_in_either_order() {
     let world = World::default();
     let gateway = with_engines(&world).await;
     for kill_first in [true, false] {
@@ -154,7 +154,7 @@
 }
 
 #[tokio::test]
-async fn a_session_gets_nothing_of_what_the_one_before_it_asked_for() {
+async fn session_gets_nothing_of_the_one_before_it() {
     // Fields that are absent in a request are absent, whatever the one before it had on the same session.
     let world = World::default();
     let engines = [resp::engine("a", world.clone()).await];
@@ -172,7 +172,7 @@
 }
 
 #[tokio::test]
-async fn what_the_system_has_accepted_for_either_front_is_served_at_the_close() {
+async fn connections_accepted_by_the_system_are_served_at_the_close() {
     let world = World::default();
     let engines = [resp::engine("a", world.clone()).await];
     let gateway = gateway(config(&engines), both_fronts(EngineWire::Resp)).await;
--- a/gateway/tests/leaving.rs
+++ b/gateway/tests/disconnects.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use support::mysql::{Client, fields};
-use support::{Ended, World, both_fronts, config, console, flight, gateway, names, resp, until};
+use support::{Ended, World, both_fronts, config, console, discovery_server, flight, gateway, resp, until};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::JoinHandle;
@@ -133,9 +133,9 @@
 }
 
 /// A front end with both fronts and no engine yet: all that is asked for waits.
-async fn without_engines() -> (Running, names::List) {
-    let list: names::List = Arc::new(Mutex::new((1, Vec::new())));
-    let (server, _) = names::server(list.clone()).await;
+async fn without_engines() -> (Running, discovery_server::List) {
+    let list: discovery_server::List = Arc::new(Mutex::new((1, Vec::new())));
+    let (server, _) = discovery_server::server(list.clone()).await;
     let config = Config { names: Some(server), ..lately(&[]) };
     (gateway(config, fronts()).await, list)
 }
@@ -144,8 +144,8 @@
     console::shows(gateway.console.unwrap(), "requests that wait", |f| f["pending"] == wanted).await;
 }
 
-fn appear(list: &names::List, address: SocketAddr) {
-    let engine = names::Engine { id: "s-0".into(), address, draining: false, started_ms: 0 };
+fn appear(list: &discovery_server::List, address: SocketAddr) {
+    let engine = discovery_server::Engine { id: "s-0".into(), address, draining: false, started_ms: 0 };
     *list.lock().unwrap() = (2, vec![engine]);
 }
 
@@ -188,7 +188,7 @@
 }
 
 #[tokio::test]
-async fn of_four_hundred_that_left_while_held_none_is_sent_on_later() {
+async fn queued_requests_of_disconnected_clients_are_never_forwarded() {
     let (gateway, list) = without_engines().await;
     let (askers, staying) = asked(&gateway, 50, 8).await;
     pending(&gateway, 408).await;
@@ -205,7 +205,7 @@
 }
 
 #[tokio::test]
-async fn the_same_in_the_overlap_after_sigterm() {
+async fn disconnected_clients_are_never_forwarded_after_sigterm() {
     let (gateway, list) = without_engines().await;
     let (askers, staying) = asked(&gateway, 5, 4).await;
     pending(&gateway, 44).await;
@@ -238,7 +238,7 @@
 }
 
 #[tokio::test]
-async fn the_same_while_the_connection_to_the_engine_comes_up() {
+async fn disconnected_clients_are_never_forwarded_while_connecting() {
     let (listener, held) = crowded();
     let gateway = gateway(lately(&[listener.local_addr().unwrap()]), fronts()).await;
     let (askers, mut staying) = asked(&gateway, 2, 1).await;
@@ -263,7 +263,7 @@
 }
 
 #[tokio::test]
-async fn the_same_before_a_repeat() {
+async fn disconnected_clients_are_never_retried() {
     // Each is turned away by the engine, again and again, until it has been told otherwise.
     let world = World::default();
     let engine = resp::engine("a", world.clone()).await;
@@ -286,7 +286,7 @@
 }
 
 #[tokio::test]
-async fn what_is_out_when_its_client_leaves_is_given_up_at_the_engine() {
+async fn attempt_of_disconnected_client_is_cancelled_at_the_engine() {
     let world = World::default();
     let engine = resp::engine("a", world.clone()).await;
     let gateway = gateway(lately(&[engine]), fronts()).await;
--- a/gateway/tests/names.rs
+++ b/gateway/tests/discovery.rs
@@ -13,7 +13,7 @@
 use reedwalk_scheduler::{EngineState, Time};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use support::names::{Engine, List, answer, deaf_server, late_server, server};
+use support::discovery_server::{Engine, List, answer, deaf_server, late_server, server};
 use support::until;
 use tokio::time::{Instant, timeout_at};
 
--- a/gateway/tests/flight_front.rs
+++ b/gateway/tests/flight_front.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use support::flight::{Client, ended, engine};
 use support::mysql::{self, fields};
-use support::{Ended, World, both_fronts, config, gateway, names, resp, until};
+use support::{Ended, World, both_fronts, config, discovery_server, gateway, resp, until};
 use tonic::Code;
 
 async fn with_engines(world: &World) -> (Running, Client) {
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn bad_input_and_unknown_methods_are_told_apart() {
+async fn bad_input_and_unknown_methods_have_different_statuses() {
     let world = World::default();
     let (_gateway, client) = with_engines(&world).await;
     let code =
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_cut_halfway_is_made_up_for_elsewhere() {
+async fn stream_cut_halfway_is_retried_elsewhere() {
     let world = World::default();
     let (_gateway, client) = with_engines(&world).await;
     assert_eq!(client.of("statement", None).ask("CUT 1").await.unwrap(), mysql::expected());
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_acknowledgement_is_repeated_with_its_key_and_has_one_effect() {
+async fn lost_acknowledgement_is_retried_with_its_key_and_has_one_effect() {
     let world = World::default();
     let (_gateway, client) = with_engines(&world).await;
     let asked = Instant::now();
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn a_cancelled_call_is_given_up_at_the_engine() {
+async fn cancelled_call_is_cancelled_at_the_engine() {
     let world = World::default();
     let (_gateway, client) = with_engines(&world).await;
     let call = tokio::spawn(async move { client.of("statement", None).ask("HANG 1").await });
@@ -100,14 +100,18 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_drains_gets_nothing_new_within_two_seconds() {
+async fn draining_engine_gets_nothing_new_within_two_seconds() {
     let world = World::default();
-    let of =
-        |id: &'static str, address| names::Engine { id: id.into(), address, draining: false, started_ms: 0 };
+    let of = |id: &'static str, address| discovery_server::Engine {
+        id: id.into(),
+        address,
+        draining: false,
+        started_ms: 0,
+    };
     let (a, b) = (engine("a", world.clone()).await, engine("b", world.clone()).await);
-    let list: names::List = Default::default();
+    let list: discovery_server::List = Default::default();
     *list.lock().unwrap() = (1, vec![of("s-0", a), of("s-1", b)]);
-    let (server, told) = names::server(list.clone()).await;
+    let (server, told) = discovery_server::server(list.clone()).await;
     let config = reedwalk_gateway::config::Config { names: Some(server), ..config(&[a, b]) };
     let gateway = gateway(config, both_fronts(EngineWire::FlightSql)).await;
     let client = Client::connect(gateway.flight.unwrap()).await.of("lookup", None);
@@ -132,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_has_just_started_is_not_flooded() {
+async fn engine_in_slow_start_is_not_overloaded() {
     let world = World::default();
     let (a, b) = (engine("a", world.clone()).await, engine("b", world.clone()).await);
     let mut config = config(&[a, b]);
@@ -226,7 +230,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_connection_never_ran_and_is_tried_elsewhere() {
+async fn refused_connection_is_retried_elsewhere() {
     // A class that must not run twice goes out again only where the first surely never ran.
     let world = World::default();
     let closed = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
--- a/gateway/tests/cores.rs
+++ b/gateway/tests/multicore.rs
@@ -7,15 +7,17 @@
 use reedwalk_gateway::operator;
 use reedwalk_gateway::operator::{EngineWire, Operator};
 use reedwalk_gateway::serve::Running;
-use reedwalk_standins::driver::{self, Kind, Plan};
-use reedwalk_standins::model::Shape;
-use reedwalk_standins::record::{ColdStart, Record};
-use reedwalk_standins::resp::modelled;
+use reedwalk_testkit::load_generator::{self, Kind, Plan};
+use reedwalk_testkit::model::Shape;
+use reedwalk_testkit::request_log::{Record, SlowStart};
+use reedwalk_testkit::resp::modelled;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use support::mysql::{Client, fields};
-use support::{Ended, World, both_fronts, config, flight, gateway, known, names, resp, settings, until};
+use support::{
+    Ended, World, both_fronts, config, discovery_server, flight, gateway, known, resp, settings, until,
+};
 use tokio::io::AsyncReadExt;
 
 /// Longer than any news may take, and than the notes that an attempt may miss.
@@ -65,17 +67,17 @@
     (running, client, session, link)
 }
 
-fn listed(id: &'static str, address: SocketAddr, draining: bool) -> names::Engine {
-    names::Engine { id: id.into(), address, draining, started_ms: 0 }
+fn listed(id: &'static str, address: SocketAddr, draining: bool) -> discovery_server::Engine {
+    discovery_server::Engine { id: id.into(), address, draining, started_ms: 0 }
 }
 
 #[tokio::test]
-async fn an_order_that_lay_on_a_stalled_core_is_not_written_to_an_engine_that_drains_meanwhile() {
+async fn attempt_on_a_stalled_core_is_not_written_to_a_drained_engine() {
     let world = World::default();
     let (a, b) = (resp::engine("a", world.clone()).await, resp::engine("b", world.clone()).await);
-    let list = names::List::default();
+    let list = discovery_server::List::default();
     *list.lock().unwrap() = (2, vec![listed("s-0", a, false)]);
-    let (server, _) = names::server(list.clone()).await;
+    let (server, _) = discovery_server::server(list.clone()).await;
     let (running, mut client, _, link) = apart(&world, server, a).await;
     stall(&running, link, STALL);
     let stalled = Instant::now();
@@ -96,12 +98,12 @@
 }
 
 #[tokio::test]
-async fn an_order_for_an_engine_that_was_replaced_at_its_address_does_not_reach_the_new_one() {
+async fn attempt_never_reaches_a_new_engine_at_the_same_address() {
     let world = World::default();
     let a = resp::engine("a", world.clone()).await;
-    let list = names::List::default();
+    let list = discovery_server::List::default();
     *list.lock().unwrap() = (2, vec![listed("s-0", a, false)]);
-    let (server, _) = names::server(list.clone()).await;
+    let (server, _) = discovery_server::server(list.clone()).await;
     let (running, mut client, _, link) = apart(&world, server, a).await;
     assert_eq!(world.connections("a"), 1);
     // Shorter than the notes that may be missed: the order still stands when the core goes on.
@@ -115,7 +117,7 @@
 }
 
 #[tokio::test]
-async fn what_a_full_socket_held_back_is_not_written_once_its_engine_drains() {
+async fn attempt_behind_a_full_socket_is_not_written_to_a_drained_engine() {
     const QUERIES: usize = 30;
     // Its bound lets all of them out at once; the socket takes a part.
     let mut large = settings();
@@ -126,9 +128,9 @@
     // It accepts, and reads nothing until it is told to.
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let a = listener.local_addr().unwrap();
-    let list = names::List::default();
+    let list = discovery_server::List::default();
     *list.lock().unwrap() = (2, vec![listed("s-0", a, false)]);
-    let (server, _) = names::server(list.clone()).await;
+    let (server, _) = discovery_server::server(list.clone()).await;
     let config = Config { names: Some(server), deployment, ..config(&[a]) };
     let running = gateway(config, cores(4)).await;
     let mut clients = Vec::new();
@@ -161,7 +163,7 @@
 }
 
 #[tokio::test]
-async fn a_core_that_stands_still_gets_no_new_connections_until_it_is_back() {
+async fn stalled_core_gets_no_connections_until_it_recovers() {
     let world = World::default();
     let running = gateway(config(&[resp::engine("a", world.clone()).await]), cores(4)).await;
     let cores = running.multicore();
@@ -188,7 +190,7 @@
 }
 
 #[tokio::test]
-async fn while_the_judge_stands_still_requests_end_at_their_deadline() {
+async fn requests_end_at_their_deadline_while_the_broker_core_is_stalled() {
     let world = World::default();
     let running = gateway(config(&[resp::engine("a", world.clone()).await]), cores(3)).await;
     let mut client = Client::connect(running.mysql).await;
@@ -204,12 +206,12 @@
 }
 
 #[tokio::test]
-async fn a_core_that_ends_takes_its_own_connections_along_and_no_others() {
+async fn ended_core_closes_only_its_own_connections() {
     let world = World::default();
-    let list = names::List::default();
+    let list = discovery_server::List::default();
     let a = resp::engine("a", world.clone()).await;
     *list.lock().unwrap() = (2, vec![listed("s-0", a, false)]);
-    let (server, _) = names::server(list).await;
+    let (server, _) = discovery_server::server(list).await;
     let (mut running, mut client, session, link) = apart(&world, server, a).await;
     // A task that panics ends alone.
     running.multicore().spawn_on(session, async { panic!("a task panics, as this test wants") });
@@ -237,7 +239,7 @@
 }
 
 #[tokio::test]
-async fn with_the_judge_gone_connections_end_and_the_program_is_told() {
+async fn end_of_the_broker_core_closes_connections_and_is_reported() {
     let world = World::default();
     let running = gateway(config(&[resp::engine("a", world.clone()).await]), cores(3)).await;
     let mut client = Client::connect(running.mysql).await;
@@ -250,7 +252,7 @@
 }
 
 #[tokio::test]
-async fn a_kill_crosses_cores() {
+async fn kill_query_works_across_cores() {
     let world = World::default();
     let running = gateway(config(&[resp::engine("a", world.clone()).await]), cores(4)).await;
     let (mut one, mut other) = (Client::connect(running.mysql).await, Client::connect(running.mysql).await);
@@ -275,7 +277,7 @@
 }
 
 #[tokio::test]
-async fn at_the_end_what_all_cores_have_taken_is_finished() {
+async fn shutdown_finishes_requests_on_all_cores() {
     let record = Record::default();
     let engine = modelled("a", Some(Shape { cores: 8.0, ..Shape::default() }), record.clone()).await;
     let running = gateway(config(&[engine.address]), cores(4)).await;
@@ -292,14 +294,14 @@
 }
 
 #[tokio::test]
-async fn a_new_configuration_holds_on_all_cores_within_a_second() {
+async fn reload_applies_on_all_cores_within_a_second() {
     let world = World::default();
     let (a, b) = (resp::engine("a", world.clone()).await, resp::engine("b", world.clone()).await);
     let running = gateway(config(&[a]), cores(4)).await;
     let mut clients = on_all_cores(&running, 9).await;
-    let list = names::List::default();
+    let list = discovery_server::List::default();
     *list.lock().unwrap() = (9, vec![listed("s-1", b, false)]);
-    let (server, _) = names::server(list).await;
+    let (server, _) = discovery_server::server(list).await;
     let took = Instant::now();
     running.reloads().apply(Config { names: Some(server), ..config(&[a]) });
     // The first that reaches the new engine; the old one is gone from the list then.
@@ -352,24 +354,25 @@
     }
     let addresses: Vec<_> = running.iter().map(|r| r.mysql).collect();
     let plan = statements(rate, 4000);
-    let result =
-        tokio::task::spawn_blocking(move || driver::play(&addresses, &plan, Duration::from_millis(200)))
-            .await;
+    let result = tokio::task::spawn_blocking(move || {
+        load_generator::play(&addresses, &plan, Duration::from_millis(200))
+    })
+    .await;
     assert_eq!(result.unwrap().lost, 0);
     let (second, ramp) = (Duration::from_secs(1), Duration::from_secs(15));
     let start =
-        ColdStart { engine: "c".into(), at, cores: 8.0, from: 0.33, ramp, window: second, multiple: 2.5 };
-    (record.cold_overruns(&start), record.began("c"), record.cold_peak(&start))
+        SlowStart { engine: "c".into(), at, cores: 8.0, from: 0.33, ramp, window: second, multiple: 2.5 };
+    (record.slow_start_overruns(&start), record.began("c"), record.slow_start_peak(&start))
 }
 
 #[tokio::test]
-async fn all_cores_together_keep_to_the_budget_of_a_cold_engine() {
+async fn all_cores_together_keep_to_a_slow_start_budget() {
     let (overruns, sent, peak) = cold_start(1, 8, 60.0, true).await;
     assert_eq!(overruns, 0, "{sent} sent, the fullest window at {peak}");
 }
 
 #[tokio::test]
-async fn the_checker_finds_judges_that_know_neither_of_the_start_nor_of_each_other() {
+async fn checker_detects_uncoordinated_slow_start() {
     let (overruns, ..) = cold_start(8, 1, 60.0, false).await;
     assert!(overruns > 0);
 }
@@ -407,13 +410,13 @@
 }
 
 #[tokio::test]
-async fn one_key_is_never_out_twice_over_all_cores() {
+async fn one_key_is_never_in_flight_twice_across_cores() {
     assert_eq!(eight_tries(1, 4).await, 1);
     assert!(eight_tries(4, 1).await > 1, "the checker finds judges that do not know of each other");
 }
 
 #[test]
-fn more_cores_than_the_limits_allow_are_turned_down_with_their_line() {
+fn too_many_cores_are_an_error_with_its_line() {
     let operator = reedwalk_gateway::operator::read("// for the busy days\ncores 17").unwrap();
     let fault = operator.check(&Limits { sockets: 1024, ..Limits::default() }).unwrap_err();
     assert_eq!((fault.line, fault.what.contains("1088 descriptors")), (2, true), "{fault}");
@@ -425,12 +428,12 @@
 }
 
 #[tokio::test]
-async fn flight_calls_cross_cores_and_keep_to_the_gate() {
+async fn flight_calls_cross_cores_and_respect_the_drain_guard() {
     let world = World::default();
     let (a, b) = (flight::engine("a", world.clone()).await, flight::engine("b", world.clone()).await);
-    let list = names::List::default();
+    let list = discovery_server::List::default();
     *list.lock().unwrap() = (2, vec![listed("s-0", a, false)]);
-    let (server, _) = names::server(list.clone()).await;
+    let (server, _) = discovery_server::server(list.clone()).await;
     let operator = Operator { cores: 4, ..both_fronts(EngineWire::FlightSql) };
     let running = gateway(patient(server, a), operator).await;
     let before = running.multicore().connections_per_core();
--- a/gateway/tests/mysql_front.rs
+++ b/gateway/tests/mysql_front.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use support::mysql::{Client, expected, fields, login, query};
 use support::with_engines;
-use support::{Ended, World, config, gateway, names, resp, until};
+use support::{Ended, World, config, discovery_server, gateway, resp, until};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn a_killed_query_and_a_closed_connection_are_given_up_at_the_engine() {
+async fn killed_query_and_closed_connection_are_cancelled_at_the_engine() {
     let world = World::default();
     let gateway = with_engines(&world).await;
     let mut client = Client::connect(gateway.mysql).await;
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn an_engine_lost_midway_is_made_up_for_elsewhere() {
+async fn query_of_a_lost_engine_is_retried_elsewhere() {
     let world = World::default();
     let gateway = with_engines(&world).await;
     let mut client = Client::connect(gateway.mysql).await;
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn spoilt_answers_are_made_up_for_elsewhere_and_what_is_served_is_whole() {
+async fn malformed_answers_are_retried_elsewhere_and_results_are_complete() {
     let world = World::default();
     let gateway = with_engines(&world).await;
     let mut client = Client::connect(gateway.mysql).await;
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test]
-async fn one_spoilt_answer_fails_nothing_else_on_its_connection() {
+async fn malformed_answer_fails_nothing_else_on_its_connection() {
     let world = World::default();
     let engines = [resp::engine("a", world.clone()).await];
     let gateway = gateway(config(&engines), Operator::default()).await;
@@ -126,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn a_late_second_copy_of_an_error_does_not_end_the_next_attempt() {
+async fn late_duplicate_error_does_not_end_the_next_attempt() {
     let world = World::default();
     let engines = [resp::engine("a", world.clone()).await];
     let gateway = gateway(config(&engines), Operator::default()).await;
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn a_request_out_of_time_is_answered_inside_the_slack() {
+async fn request_past_its_deadline_is_answered_inside_the_slack() {
     let world = World::default();
     let gateway = with_engines(&world).await;
     let mut client = Client::connect(gateway.mysql).await;
@@ -148,7 +148,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_connection_never_ran_and_is_tried_elsewhere() {
+async fn refused_connection_is_retried_elsewhere() {
     // A class that must not run twice may go out again only where the first surely never ran.
     let world = World::default();
     let closed = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
@@ -163,12 +163,16 @@
 #[tokio::test]
 async fn a_draining_engine_gets_nothing_new() {
     let world = World::default();
-    let engine =
-        |id: &'static str, address| names::Engine { id: id.into(), address, draining: false, started_ms: 0 };
+    let engine = |id: &'static str, address| discovery_server::Engine {
+        id: id.into(),
+        address,
+        draining: false,
+        started_ms: 0,
+    };
     let (a, b) = (resp::engine("a", world.clone()).await, resp::engine("b", world.clone()).await);
-    let list: names::List = Default::default();
+    let list: discovery_server::List = Default::default();
     *list.lock().unwrap() = (1, vec![engine("s-0", a), engine("s-1", b)]);
-    let (server, told) = names::server(list.clone()).await;
+    let (server, told) = discovery_server::server(list.clone()).await;
     let gateway = gateway(
         reedwalk_gateway::config::Config { names: Some(server), ..config(&[a, b]) },
         Operator::default(),
@@ -194,7 +198,7 @@
 }
 
 #[tokio::test]
-async fn closing_finishes_what_was_taken() {
+async fn shutdown_finishes_accepted_requests() {
     let world = World::default();
     let gateway = with_engines(&world).await;
     let mut client = Client::connect(gateway.mysql).await;
@@ -208,7 +212,7 @@
 }
 
 #[tokio::test]
-async fn a_silent_engine_holds_up_no_other() {
+async fn unresponsive_engine_delays_no_other() {
     // It accepts connections and reads nothing.
     let silent = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let world = World::default();
@@ -244,7 +248,7 @@
 }
 
 #[tokio::test]
-async fn sessions_past_the_limit_are_refused_and_told_when_to_come_back() {
+async fn sessions_beyond_the_limit_are_refused_with_retry_after() {
     let (_world, gateway) = narrow(10).await;
     let mut open = Vec::new();
     for n in 0..6 {
@@ -273,7 +277,7 @@
 }
 
 #[tokio::test]
-async fn clients_that_stay_for_good_or_say_nothing_cost_the_usual_ones_no_place() {
+async fn idle_and_silent_clients_take_no_slot_from_active_ones() {
     let (_world, gateway) = narrow(40).await;
     let mut usual = Client::connect(gateway.mysql).await;
     let (mut kept, mut silent) = (Vec::new(), Vec::new());
@@ -291,7 +295,7 @@
 }
 
 #[tokio::test]
-async fn each_stage_of_a_session_has_its_end() {
+async fn each_stage_of_a_session_has_a_timeout() {
     let (_world, gateway) = narrow(1024).await;
     let since = Instant::now();
     let pieces: [&[&[u8]]; 4] = [&[], &[&login()[..20]], &[&login(), &[9, 0, 0, 0, 3]], &[&[0, 255, 0, 1]]];
@@ -307,7 +311,7 @@
 }
 
 #[tokio::test]
-async fn the_id_of_an_open_request_is_not_taken_again() {
+async fn trace_id_of_an_open_request_is_rejected() {
     let world = World::default();
     let gateway = with_engines(&world).await;
     let mut client = Client::connect(gateway.mysql).await;
--- a/gateway/tests/operation.rs
+++ b/gateway/tests/operation.rs
@@ -16,7 +16,8 @@
 use support::mysql::{Client, fields};
 use support::process::Process;
 use support::{
-    Ended, World, both_fronts, config, flight, folder, gateway, known, names, resp, settings, until,
+    Ended, World, both_fronts, config, discovery_server, flight, folder, gateway, known, resp, settings,
+    until,
 };
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -72,7 +73,7 @@
 // ---- Console
 
 #[tokio::test]
-async fn each_line_gets_one_answer_and_what_is_no_call_a_reason() {
+async fn each_line_gets_one_answer_with_a_reason_if_it_fails() {
     let world = World::default();
     let running = gateway(with_console(&engines(&world).await), Operator::default()).await;
     let console = running.console.unwrap();
@@ -107,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn callers_without_a_whole_line_keep_nobody_waiting_and_hold_few_places() {
+async fn incomplete_console_lines_block_nobody() {
     let world = World::default();
     let running = gateway(with_console(&engines(&world).await), Operator::default()).await;
     let console = running.console.unwrap();
@@ -134,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn a_call_that_waits_for_the_record_is_answered_whoever_comes_after_it() {
+async fn waiting_console_command_is_answered_despite_newer_connections() {
     let world = World::default();
     let config = with_console(&engines(&world).await);
     let folder = config.folder.clone();
@@ -164,7 +165,7 @@
 // ---- Figures
 
 #[tokio::test]
-async fn figures_are_what_clients_and_engines_counted() {
+async fn metrics_match_what_clients_and_engines_counted() {
     let world = World::default();
     let engines = [flight::engine("a", world.clone()).await, flight::engine("b", world.clone()).await];
     for wire in [EngineWire::FlightSql, EngineWire::Resp] {
@@ -224,7 +225,7 @@
 // ---- Engines out by hand
 
 #[tokio::test]
-async fn nothing_new_reaches_an_engine_that_is_out_on_any_core_and_what_is_out_finishes() {
+async fn engine_out_of_service_gets_nothing_new_and_finishes_its_work() {
     let world = World::default();
     let mut settings = settings();
     settings["RequestClasses"][0]["SloUs"] = json!(6_000_000);
@@ -272,18 +273,18 @@
 }
 
 #[tokio::test]
-async fn an_operators_word_stands_above_every_news_of_the_list() {
+async fn override_takes_precedence_over_the_endpoint_list() {
     let world = World::default();
     let [a, b] = engines(&world).await;
-    let engine = |id: &'static str, address, draining, started_ms| names::Engine {
+    let engine = |id: &'static str, address, draining, started_ms| discovery_server::Engine {
         id: id.into(),
         address,
         draining,
         started_ms,
     };
-    let list: names::List =
+    let list: discovery_server::List =
         Arc::new(Mutex::new((2, vec![engine("s-0", a, false, 0), engine("s-1", b, false, 0)])));
-    let (server, told) = names::server(list.clone()).await;
+    let (server, told) = discovery_server::server(list.clone()).await;
     let running = gateway(Config { names: Some(server), ..with_console(&[a, b]) }, Operator::default()).await;
     let console = running.console.unwrap();
     let mut client = Client::connect(running.mysql).await;
@@ -321,7 +322,7 @@
 }
 
 #[tokio::test]
-async fn a_word_that_cannot_be_kept_is_not_said_to_hold() {
+async fn override_that_cannot_be_stored_is_reported_as_failed() {
     let world = World::default();
     let engines = engines(&world).await;
     let site = Site::new(&engines, None, 256);
@@ -335,7 +336,7 @@
 }
 
 #[tokio::test]
-async fn the_program_takes_the_calls_of_the_on_call_page_to_a_console() {
+async fn call_command_runs_the_commands_of_the_on_call_page() {
     let world = World::default();
     let site = Site::new(&engines(&world).await, None, 256);
     let process = site.start();
@@ -423,7 +424,7 @@
 }
 
 #[tokio::test]
-async fn an_upgrade_under_load_turns_nobody_away() {
+async fn hot_restart_under_load_rejects_nobody() {
     let world = World::default();
     let site = Site::new(&engines(&world).await, None, 256);
     let mut old = site.start();
@@ -442,7 +443,7 @@
 }
 
 #[tokio::test]
-async fn what_stands_in_the_queue_of_the_old_process_as_it_closes_is_served() {
+async fn connections_in_the_old_listener_queue_are_served() {
     let world = World::default();
     let site = Site::new(&engines(&world).await, None, 1024);
     let mut old = site.start();
@@ -465,7 +466,7 @@
 }
 
 #[tokio::test]
-async fn one_alone_goes_on_accepting_after_sigterm_and_then_says_that_it_takes_no_clients() {
+async fn lone_process_accepts_after_sigterm_then_reports_unhealthy() {
     let world = World::default();
     let site = Site::new(&engines(&world).await, None, 256);
     let mut process = site.start();
@@ -493,7 +494,7 @@
 }
 
 #[tokio::test]
-async fn a_word_given_to_either_process_holds_in_both_and_outlives_both() {
+async fn override_holds_in_both_processes_and_survives_them() {
     let world = World::default();
     let site = Site::new(&engines(&world).await, None, 256);
     let out = |f: &std::collections::HashMap<String, u64>| f["members_unavailable"] == 1;
@@ -524,7 +525,7 @@
 }
 
 #[tokio::test]
-async fn three_processes_have_a_third_each_and_one_beyond_the_places_says_so() {
+async fn three_processes_share_capacity_and_one_too_many_is_reported() {
     let world = World::default();
     let site = Site::new(&engines(&world).await, None, 256);
     let first = site.start();
@@ -542,7 +543,7 @@
 }
 
 #[tokio::test]
-async fn a_word_that_was_kept_and_never_answered_holds_in_the_next_process() {
+async fn stored_but_unanswered_override_holds_in_the_next_process() {
     let world = World::default();
     let site = Site::new(&engines(&world).await, None, 256);
     let process = site.start();
@@ -556,7 +557,7 @@
 }
 
 #[tokio::test]
-async fn a_spoilt_record_is_said_once_and_the_program_serves_on() {
+async fn corrupted_override_file_is_logged_once_and_serving_continues() {
     let world = World::default();
     let site = Site::new(&engines(&world).await, None, 256);
     {
@@ -580,7 +581,7 @@
 }
 
 #[tokio::test]
-async fn a_crowd_at_half_room_takes_nobodys_place_also_while_two_processes_share_it() {
+async fn shared_capacity_evicts_no_active_session() {
     let world = World::default();
     let site = Site::new(&engines(&world).await, None, 128);
     let old = site.start();
@@ -617,7 +618,7 @@
 }
 
 #[tokio::test]
-async fn without_a_console_nothing_is_kept_and_the_address_is_not_shared() {
+async fn without_a_console_nothing_is_stored_and_the_address_is_not_shared() {
     let world = World::default();
     let one = config(&engines(&world).await);
     let (folder, limits) = (one.folder.clone(), Limits::default());
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -83,7 +83,7 @@
     }
 
     #[test]
-    fn garbage_is_an_error_or_waited_for(garbage in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn malformed_bytes_are_an_error_or_incomplete(garbage in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut buffer = BytesMut::from(&garbage[..]);
         while let Ok(Some(words)) = take_array(&mut buffer) {
             let _ = read_reply(words);
@@ -98,7 +98,7 @@
     }
 
     #[test]
-    fn text_near_sql_is_read_without_harm(text in "[/*'\"`#\\-a-z_0-9=,. \n]{0,80}") {
+    fn sql_like_text_is_read_without_panic(text in "[/*'\"`#\\-a-z_0-9=,. \n]{0,80}") {
         let bytes = Bytes::from(text);
         let _ = (table_group(&bytes), kill_query(&bytes), take_fields(&bytes));
     }
@@ -121,7 +121,7 @@
 const FIELDS: &str = "route=report,trace=9b1f03aa5c7e2d41,patience=1500";
 
 #[test]
-fn only_the_fields_comment_is_taken_off() {
+fn only_the_fields_comment_is_removed() {
     let take = |text: String| take_fields(&Bytes::from(text)).map(|t| t.1);
     assert_eq!(take(format!("/* {FIELDS} */ SELECT /* x */ 1")).unwrap(), "SELECT /* x */ 1");
     assert_eq!(take(format!(" /* a hint */ /*{FIELDS}*/SELECT 1 ")).unwrap(), "/* a hint */ SELECT 1 ");
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn an_answer_is_read_with_its_cost_load_and_note() {
+fn reply_is_read_with_its_usage_load_and_progress() {
     let reply =
         |words: &[&'static str]| read_reply(words.iter().map(|w| Bytes::from_static(w.as_bytes())).collect());
     let ok =
--- a/gateway/tests/program.rs
+++ b/gateway/tests/program.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use support::mysql::{Client, expected, fields};
-use support::{Ended, World, known, names, resp, settings, until};
+use support::{Ended, World, discovery_server, known, resp, settings, until};
 
 /// Ends the process by its id when a test fails halfway.
 struct Ending(Child);
@@ -110,10 +110,14 @@
 async fn at_sighup_the_names_move_and_what_is_open_lives_on() {
     let world = World::default();
     let (a, b) = (resp::engine("a", world.clone()).await, resp::engine("b", world.clone()).await);
-    let engine =
-        |id: &'static str, address| names::Engine { id: id.into(), address, draining: false, started_ms: 0 };
-    let list: names::List = Arc::new(Mutex::new((2, vec![engine("s-0", a), engine("s-9", b)])));
-    let (server, told) = names::server(list.clone()).await;
+    let engine = |id: &'static str, address| discovery_server::Engine {
+        id: id.into(),
+        address,
+        draining: false,
+        started_ms: 0,
+    };
+    let list: discovery_server::List = Arc::new(Mutex::new((2, vec![engine("s-0", a), engine("s-9", b)])));
+    let (server, told) = discovery_server::server(list.clone()).await;
     let nobody = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let (mut child, file, log, address, _) =
         started(&configuration(&[a], Some(nobody.local_addr().unwrap())), None);
--- a/gateway/tests/contracts.rs
+++ b/gateway/tests/quotas.rs
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn a_contract_covers_its_classes_at_their_cost() {
+async fn contract_covers_its_classes_at_their_cost() {
     early_in_the_window().await;
     let contracts = contracts(contract(10, HOUR_MS), 1, None);
     assert_eq!(contracts.quota_request(Some("desk"), ClassId(2)), Err(Rejection::Contract));
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn a_spent_budget_tells_when_the_next_window_begins() {
+async fn exhausted_quota_has_retry_after_of_the_next_window() {
     let contracts = contracts(contract(0, HOUR_MS), 1, None);
     let due = contracts.quota_request(Some("desk"), ClassId(0)).unwrap();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
@@ -110,7 +110,7 @@
 }
 
 #[tokio::test]
-async fn front_ends_that_share_a_redis_grant_a_budget_once_and_ask_it_seldom() {
+async fn gateways_sharing_a_store_grant_a_quota_once_with_few_calls() {
     early_in_the_window().await;
     let redis = Redis::default();
     let address = redis.start().await;
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test]
-async fn units_that_nobody_draws_on_go_back_to_the_others() {
+async fn idle_quota_units_are_returned() {
     early_in_the_window().await;
     let redis = Redis::default();
     let address = redis.start().await;
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test]
-async fn a_slow_redis_is_waited_for_shortly_and_then_half_of_the_even_part_is_granted() {
+async fn slow_store_leaves_half_of_the_even_share() {
     early_in_the_window().await;
     let redis = Redis::default();
     redis.trouble(Some(Trouble::Frozen));
@@ -151,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn a_redis_that_fails_midway_does_not_let_a_front_end_grant_its_part_twice() {
+async fn store_failure_midway_does_not_grant_the_share_twice() {
     early_in_the_window().await;
     let redis = Redis::default();
     let contracts = contracts(contract(80, HOUR_MS), 4, Some(redis.start().await));
@@ -172,7 +172,7 @@
 }
 
 #[tokio::test]
-async fn overspending_is_refused_alike_on_both_fronts_before_anything_is_sent() {
+async fn exhausted_quota_is_rejected_alike_on_both_fronts() {
     early_in_the_window().await;
     let (over_mysql, over_flight) = (World::default(), World::default());
     let operator = |engines| Operator {
@@ -202,7 +202,7 @@
 }
 
 #[tokio::test]
-async fn what_was_refused_and_never_ran_is_not_paid_for() {
+async fn rejected_request_that_never_ran_is_refunded() {
     early_in_the_window().await;
     let world = World::default();
     let operator = Operator { contracts: Some(vec![contract(2, HOUR_MS)]), ..Operator::default() };
@@ -218,7 +218,7 @@
 }
 
 #[tokio::test]
-async fn what_was_refused_and_may_have_run_is_paid_for() {
+async fn rejected_request_that_may_have_run_is_charged() {
     early_in_the_window().await;
     let world = World::default();
     let operator = Operator { contracts: Some(vec![contract(2, HOUR_MS)]), ..Operator::default() };
--- a/gateway/tests/recovery.rs
+++ b/gateway/tests/recovery.rs
@@ -2,10 +2,10 @@
 
 mod support;
 
-use reedwalk_fleet::Load;
-use reedwalk_fleet::fault::Fault;
-use reedwalk_fleet::rig::{Rig, Setup};
-use reedwalk_standins::driver::End;
+use reedwalk_fault_injection::Load;
+use reedwalk_fault_injection::cluster::{Cluster, Setup};
+use reedwalk_fault_injection::fault::Fault;
+use reedwalk_testkit::load_generator::End;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -43,17 +43,17 @@
 #[expect(clippy::too_many_lines, reason = "one day told in order")]
 fn power_loss(state: bool, seed: u64) -> Loss {
     const FRONTS: usize = 12;
-    let mut rig = Rig::start(Setup { state, cells: 3, ..setup(FRONTS, 12, seed) });
+    let mut cluster = Cluster::start(Setup { state, cells: 3, ..setup(FRONTS, 12, seed) });
     let mut load = Load::lookups(FRONTS, 10.0, 450.0, seed);
     (load.shares, load.returns) = ([0.3, 0.0, 0.7], Some(15 * SECOND));
-    rig.play(&load);
-    rig.run(6 * SECOND);
+    cluster.play(&load);
+    cluster.run(6 * SECOND);
     let all: Vec<_> = (0..FRONTS).collect();
-    rig.kill(&all);
+    cluster.kill(&all);
     let lost = Instant::now();
     if state {
         // Cut, flipped, lost, another's; the others are as they were left.
-        let folder = |n: usize| rig.front(n).state();
+        let folder = |n: usize| cluster.front(n).state();
         let log = newest(&folder(0), "log-").expect("a log");
         let bytes = std::fs::read(&log).unwrap();
         std::fs::write(&log, &bytes[..bytes.len() / 2]).unwrap();
@@ -71,24 +71,24 @@
         }
     }
     for wave in 0..3 {
-        rig.run(SECOND / 2);
+        cluster.run(SECOND / 2);
         let which: Vec<_> = (0..FRONTS).filter(|n| n % 3 == wave).collect();
-        rig.restart(&which);
+        cluster.restart(&which);
     }
-    rig.run(3 * SECOND);
+    cluster.run(3 * SECOND);
     if state {
-        let said = |n: usize, what: &str| rig.front(n).times_said(what, lost);
+        let said = |n: usize, what: &str| cluster.front(n).times_said(what, lost);
         assert!(said(1, "garbled") > 0 && said(3, "of another front end") > 0, "what is wrong is said");
         assert_eq!(said(2, "not used") + said(5, "not used"), 0);
         assert!((0..FRONTS).all(|n| said(n, "start-up phase over") > 0));
     }
-    let bound = if state { (0..FRONTS).map(|n| rig.figures(n)["state_bound"]).sum() } else { 0 };
-    let seen = rig.end_load();
-    rig.check_crashes();
+    let bound = if state { (0..FRONTS).map(|n| cluster.figures(n)["state_bound"]).sum() } else { 0 };
+    let seen = cluster.end_load();
+    cluster.check_crashes();
     let posts: Vec<_> = seen.iter().filter(|a| a.key.is_some()).collect();
     let back: Vec<_> = posts.iter().filter(|a| a.tries > 1).collect();
     let loss = Loss {
-        doubled: rig.record.doubled(|e| rig.cell(e), WINDOW),
+        doubled: cluster.record.doubled(|e| cluster.cell(e), WINDOW),
         posts: posts.len(),
         back: back.len(),
         served: back.iter().filter(|a| a.end == End::Served).count(),
@@ -102,11 +102,14 @@
         loss.served,
         loss.bound,
         loss.doubled,
-        rig.struck()
+        cluster.applied_faults()
+    );
+    assert_eq!(
+        (cluster.applied_faults().killed, cluster.applied_faults().restarted),
+        (FRONTS as u64, FRONTS as u64)
     );
-    assert_eq!((rig.struck().killed, rig.struck().restarted), (FRONTS as u64, FRONTS as u64));
     assert!(seen.iter().all(|a| a.key.is_none() || a.end != End::Lost), "a post without an end");
-    assert_eq!(rig.unasked, 0);
+    assert_eq!(cluster.unasked, 0);
     loss
 }
 
@@ -123,24 +126,27 @@
 #[test]
 fn killed_again_and_again_it_comes_back_with_a_sound_memory() {
     let _alone = alone();
-    let mut rig = Rig::start(Setup { cells: 2, ..setup(3, 4, 17) });
+    let mut cluster = Cluster::start(Setup { cells: 2, ..setup(3, 4, 17) });
     let mut load = Load::lookups(3, 60.0, 4.0, 17);
     load.shares = [0.4, 0.0, 0.6];
-    rig.play(&load);
+    cluster.play(&load);
     let (mut kills, mut wait) = (0, 17u64);
     let began = Instant::now();
     while kills < 60 {
         // Some moments after it serves, at no moment of its own choice.
         wait = wait.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        rig.run(Duration::from_micros(2_000 + (wait >> 33) % 120_000));
-        rig.kill(&[kills % 3]);
-        rig.restart(&[kills % 3]);
+        cluster.run(Duration::from_micros(2_000 + (wait >> 33) % 120_000));
+        cluster.kill(&[kills % 3]);
+        cluster.restart(&[kills % 3]);
         kills += 1;
     }
-    rig.end_load();
-    let said = |what: &str| rig.all().map(|f| f.times_said(what, began)).sum::<usize>();
+    cluster.end_load();
+    let said = |what: &str| cluster.all().map(|f| f.times_said(what, began)).sum::<usize>();
     let (memories, unsound) = (said("torn bytes: "), said("not used"));
-    println!("{kills} kills: {memories} memories looked for, {unsound} files not sound; {}", rig.struck());
+    println!(
+        "{kills} kills: {memories} memories looked for, {unsound} files not sound; {}",
+        cluster.applied_faults()
+    );
     assert!(memories >= kills);
     assert_eq!(unsound, 0);
 }
@@ -148,34 +154,34 @@
 #[test]
 fn until_the_name_server_has_answered_or_its_time_is_over_clients_are_asked_to_come_back() {
     let _alone = alone();
-    let mut rig = Rig::start(Setup { names: 1, ..setup(2, 4, 27) });
-    let line = |rig: &Rig, call: &str| {
-        let console = rig.front(0).console;
+    let mut cluster = Cluster::start(Setup { names: 1, ..setup(2, 4, 27) });
+    let line = |cluster: &Cluster, call: &str| {
+        let console = cluster.front(0).console;
         let take = reedwalk_gateway::console::call(console, call, tokio::time::Instant::now() + SECOND);
-        rig.runtime().block_on(take).unwrap()
+        cluster.runtime().block_on(take).unwrap()
     };
-    rig.until("served once the name server has answered", SECOND, |r| {
+    cluster.until("served once the name server has answered", SECOND, |r| {
         line(r, "HEALTH").starts_with("SUCCESS")
     });
-    rig.names[0].set(Fault::cut(), Fault::cut());
-    rig.kill(&[0]);
+    cluster.names[0].set(Fault::cut(), Fault::cut());
+    cluster.kill(&[0]);
     let began = Instant::now();
-    rig.restart(&[0]);
-    assert!(line(&rig, "HEALTH").starts_with("FAILURE"), "no list yet");
+    cluster.restart(&[0]);
+    assert!(line(&cluster, "HEALTH").starts_with("FAILURE"), "no list yet");
     let mut load = Load::lookups(2, 50.0, 4.0, 27);
     load.rates[1] = 0.0;
-    rig.play(&load);
-    rig.until("time is over", 3 * SECOND, |r| line(r, "HEALTH").starts_with("SUCCESS"));
+    cluster.play(&load);
+    cluster.until("time is over", 3 * SECOND, |r| line(r, "HEALTH").starts_with("SUCCESS"));
     let open = Instant::now();
-    rig.run(SECOND);
-    let seen = rig.end_load();
+    cluster.run(SECOND);
+    let seen = cluster.end_load();
     let early: Vec<_> = seen.iter().filter(|a| a.at + a.took < open - SECOND / 10).collect();
     println!("let in {:.1?} after the start; {} turned away before", open - began, early.len());
     assert!(!early.is_empty() && early.iter().all(|a| a.end == End::Refused && a.took < SECOND / 4));
     let late: Vec<_> = seen.iter().filter(|a| a.at > open).collect();
     assert!(!late.is_empty() && late.iter().all(|a| a.end == End::Served));
-    assert!(rig.struck().cut > 0);
-    assert_eq!(rig.front(0).times_said("reason: time, phase: listing", began), 1);
+    assert!(cluster.applied_faults().cut > 0);
+    assert_eq!(cluster.front(0).times_said("reason: time, phase: listing", began), 1);
 }
 
 fn reedwalk(args: &[&str]) -> (bool, String) {
@@ -187,11 +193,11 @@
 #[test]
 fn a_folder_is_shown_verified_and_forgotten_and_a_second_writer_gives_way() {
     let _alone = alone();
-    let mut rig = Rig::start(setup(1, 2, 37));
-    rig.play(&Load::lookups(1, 50.0, 4.0, 37));
-    rig.until("a record stands", 10 * SECOND, |r| newest(&r.front(0).state(), "record-").is_some());
-    rig.run(SECOND / 2);
-    let state = rig.front(0).state();
+    let mut cluster = Cluster::start(setup(1, 2, 37));
+    cluster.play(&Load::lookups(1, 50.0, 4.0, 37));
+    cluster.until("a record stands", 10 * SECOND, |r| newest(&r.front(0).state(), "record-").is_some());
+    cluster.run(SECOND / 2);
+    let state = cluster.front(0).state();
     let folder = state.to_str().unwrap();
     let (done, text) = reedwalk(&["state", "show", folder]);
     assert!(done && text.contains("sound") && text.contains("class lookup"), "{text}");
@@ -199,18 +205,18 @@
     let (done, text) = reedwalk(&["state", "forget", folder]);
     assert!(!done && text.contains("a front end writes there"), "{text}");
     // A second one on the same folder.
-    let (config, operator) = (rig.folder().join("second.json"), rig.folder().join("n0.kdl"));
-    let first = std::fs::read_to_string(rig.folder().join("n0.json")).unwrap();
+    let (config, operator) = (cluster.folder().join("second.json"), cluster.folder().join("n0.kdl"));
+    let first = std::fs::read_to_string(cluster.folder().join("n0.json")).unwrap();
     let mut second: serde_json::Value = serde_json::from_str(&first).unwrap();
     second["listen"] = "127.0.0.1:0".into();
     std::fs::write(&config, second.to_string()).unwrap();
-    let process = support::process::Process::start(&config, rig.folder(), Some(&operator));
-    rig.until("the second gives way", 5 * SECOND, |_| {
+    let process = support::process::Process::start(&config, cluster.folder(), Some(&operator));
+    cluster.until("the second gives way", 5 * SECOND, |_| {
         process.said("another process writes in the folder") == 1
     });
     drop(process);
     let before = newest(&state, "record-").unwrap();
-    rig.kill(&[0]);
+    cluster.kill(&[0]);
     let record = newest(&state, "record-").unwrap();
     assert_eq!(before, record);
     std::fs::write(&record, b"reedwalk\x09\x00").unwrap();
@@ -221,10 +227,13 @@
     assert_eq!(newest(&state, "record-"), None);
     assert!(!reedwalk(&["state", "show", "/no/such/folder"]).0);
     // A folder that can't be one is said with its line, and nothing starts.
-    std::fs::write(rig.folder().join("file"), "x").unwrap();
-    let bad = rig.folder().join("bad.kdl");
-    std::fs::write(&bad, format!("// none\nstate {:?}\n", rig.folder().join("file").display().to_string()))
-        .unwrap();
+    std::fs::write(cluster.folder().join("file"), "x").unwrap();
+    let bad = cluster.folder().join("bad.kdl");
+    std::fs::write(
+        &bad,
+        format!("// none\nstate {:?}\n", cluster.folder().join("file").display().to_string()),
+    )
+    .unwrap();
     let config = config.to_str().unwrap();
     let (done, text) = reedwalk(&["serve", "--config", config, "--operator", bad.to_str().unwrap()]);
     assert!(!done && text.contains("line 2: 'state'"), "{text}");
--- a/gateway/tests/members.rs
+++ b/gateway/tests/registry.rs
@@ -168,7 +168,7 @@
     })]
 
     #[test]
-    fn the_operators_word_holds_through_any_order_of_events(steps in prop::collection::vec(step(), 1..40)) {
+    fn overrides_hold_through_any_order_of_events(steps in prop::collection::vec(step(), 1..40)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
         runtime.block_on(play(steps))?;
     }
--- a/gateway/tests/shared_store.rs
+++ b/gateway/tests/shared_store.rs
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn a_retry_through_another_front_end_gets_the_answer_that_was_given() {
+async fn retry_through_another_gateway_gets_the_stored_answer() {
     let (world, redis) = (World::default(), Redis::default());
     let (engines, address) = (engines(&world).await, redis.start().await);
     let fronts = [front(&engines, address, "all").await, front(&engines, address, "all").await];
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn of_two_front_ends_with_one_key_at_once_one_sends_and_the_other_says_come_back() {
+async fn concurrent_requests_with_one_key_are_sent_by_one_gateway() {
     let (world, redis) = (World::default(), Redis::default());
     let (engines, address) = (engines(&world).await, redis.start().await);
     let fronts = [front(&engines, address, "zone").await, front(&engines, address, "zone").await];
@@ -166,7 +166,7 @@
 }
 
 #[tokio::test]
-async fn a_retry_goes_to_the_hall_that_the_first_try_went_to_and_nowhere_else() {
+async fn retry_stays_in_the_zone_of_the_first_attempt() {
     let (world, redis) = (World::default(), Redis::default());
     world.0.lock().unwrap().apart = true;
     let (engines, address) = (engines(&world).await, redis.start().await);
@@ -196,7 +196,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_is_turned_away_is_tried_again_in_the_hall_that_was_written() {
+async fn rejected_request_is_retried_in_the_recorded_zone() {
     let (world, redis) = (World::default(), Redis::default());
     world.0.lock().unwrap().apart = true;
     let (engines, address) = (engines(&world).await, redis.start().await);
@@ -213,7 +213,7 @@
 }
 
 #[tokio::test]
-async fn with_the_store_gone_first_tries_are_served_and_retries_that_could_run_twice_are_not() {
+async fn without_the_store_only_safe_requests_are_served() {
     let (world, redis) = (World::default(), Redis::default());
     world.0.lock().unwrap().apart = true;
     let engines = engines(&world).await;
@@ -236,7 +236,7 @@
 }
 
 #[tokio::test]
-async fn a_store_that_fails_in_any_way_costs_a_request_little_and_never_its_answer() {
+async fn store_faults_cost_little_time_and_no_answer() {
     let (world, redis) = (World::default(), Redis::default());
     let (engines, address) = (engines(&world).await, redis.start().await);
     let usual = SharedStoreOptions { share_keys: true, ..SharedStoreOptions::default() };
@@ -279,7 +279,7 @@
 }
 
 #[tokio::test]
-async fn what_the_store_says_and_cannot_be_read_is_believed_by_nobody() {
+async fn unreadable_store_values_are_ignored() {
     let (world, redis) = (World::default(), Redis::default());
     world.0.lock().unwrap().apart = true;
     let (engines, address) = (engines(&world).await, redis.start().await);
@@ -306,7 +306,7 @@
 }
 
 #[tokio::test]
-async fn old_contents_do_not_send_a_key_to_a_second_hall() {
+async fn restored_old_contents_do_not_move_a_key_to_another_zone() {
     let (world, redis) = (World::default(), Redis::default());
     world.0.lock().unwrap().apart = true;
     let (engines, address) = (engines(&world).await, redis.start().await);
@@ -324,7 +324,7 @@
 }
 
 #[tokio::test]
-async fn a_retry_over_flight_gets_the_count_that_was_given() {
+async fn retry_over_flight_gets_the_stored_count() {
     let (world, redis) = (World::default(), Redis::default());
     let address = redis.start().await;
     let engines = [flight::engine("a", world.clone()).await, flight::engine("b", world.clone()).await];
@@ -357,7 +357,7 @@
 }
 
 #[tokio::test]
-async fn a_front_end_killed_between_claim_and_send_loses_nothing() {
+async fn gateway_killed_between_claim_and_send_loses_nothing() {
     let (world, redis) = (World::default(), Redis::default());
     let (engines, address) = (engines(&world).await, redis.start().await);
     let (killed, other) = (process(&engines, address, "all"), front(&engines, address, "all").await);
@@ -374,7 +374,7 @@
 }
 
 #[tokio::test]
-async fn a_front_end_killed_between_send_and_answer_leaves_word_of_where_it_sent() {
+async fn gateway_killed_between_send_and_answer_leaves_its_record() {
     let (world, redis) = (World::default(), Redis::default());
     world.0.lock().unwrap().apart = true;
     let (engines, address) = (engines(&world).await, redis.start().await);
@@ -390,7 +390,7 @@
 }
 
 #[tokio::test]
-async fn a_front_end_killed_between_answer_and_record_is_made_up_for_by_the_engines() {
+async fn gateway_killed_between_answer_and_record_is_covered_by_engine_deduplication() {
     let (world, redis) = (World::default(), Redis::default());
     world.0.lock().unwrap().apart = true;
     let (engines, address) = (engines(&world).await, redis.start().await);
@@ -408,7 +408,7 @@
 }
 
 #[tokio::test]
-async fn a_wrong_password_is_said_once_and_the_right_one_lets_in() {
+async fn wrong_password_is_logged_once_and_the_right_one_works() {
     let (world, redis) = (World::default(), Redis::default());
     redis.password("right");
     let (engines, address) = (engines(&world).await, redis.start().await);
@@ -427,7 +427,7 @@
 }
 
 #[tokio::test]
-async fn a_front_end_that_is_cut_off_from_the_store_sends_no_retry_to_a_second_hall() {
+async fn gateway_cut_off_from_the_store_moves_no_retry_to_another_zone() {
     let (world, redis) = (World::default(), Redis::default());
     world.0.lock().unwrap().apart = true;
     let (engines, address) = (engines(&world).await, redis.start().await);
@@ -445,7 +445,7 @@
 }
 
 #[tokio::test]
-async fn a_url_that_is_none_is_an_error_at_the_start() {
+async fn invalid_store_url_is_an_error_at_the_start() {
     let operator = Operator { store: Store::Redis("http://nowhere".into(), terms()), ..Operator::default() };
     let log = slog::Logger::root(slog::Discard, slog::o!());
     assert!(reedwalk_gateway::serve::start(config(&[]), operator, &log).await.is_err());
--- a/gateway/tests/shutdown.rs
+++ b/gateway/tests/shutdown.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn all_is_answered_and_the_process_gone_before_the_platform_kills_it() {
+fn everything_is_answered_before_the_platform_kills_the_process() {
     let told = Instant::now();
     for (longest, counted) in [(0, 0), (200, 200), (2_000, 2_000), (3_000, 3_000), (16_000, 3_000)] {
         let end = ShutdownDeadlines::new(told, ms(longest));
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn what_would_outlast_the_process_is_answered_before_its_end() {
+async fn request_that_would_outlive_the_process_is_answered_before_its_end() {
     let world = World::default();
     let gateway = with_engines(&world).await;
     let (mut early, mut late) = (Client::connect(gateway.mysql).await, Client::connect(gateway.mysql).await);
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn neither_hung_engines_nor_quiet_or_slow_clients_hold_up_the_exit() {
+async fn hung_engines_and_slow_clients_do_not_delay_the_exit() {
     let world = World::default();
     let engines = [resp::engine("a", world.clone()).await];
     let folder = folder();
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -5,8 +5,8 @@
 
 pub mod process;
 
-pub use reedwalk_standins::config::{known, settings};
-pub use reedwalk_standins::{Ended, World, console, flight, mysql, names, redis, resp, until};
+pub use reedwalk_testkit::config::{known, settings};
+pub use reedwalk_testkit::{Ended, World, console, discovery_server, flight, mysql, redis, resp, until};
 
 use reedwalk_gateway::config::Config;
 use reedwalk_gateway::limits::Limits;
--- a/gossip/src/codec/tests.rs
+++ b/gossip/src/codec/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_is_sealed_is_read_as_it_was_and_heartbeats_keep_their_time() {
+fn sealed_datagram_round_trips() {
     for keys in [SigningKeys::default(), SigningKeys(vec![key(1)])] {
         let read = keys.open(&keys.seal(&datagram())).unwrap();
         assert_eq!(read, datagram());
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn every_flipped_bit_and_every_cut_is_seen() {
+fn every_flipped_bit_and_truncation_is_detected() {
     for keys in [SigningKeys::default(), SigningKeys(vec![key(1)])] {
         let sealed = keys.seal(&datagram());
         for bit in 0..sealed.len() * 8 {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn while_keys_change_both_are_believed_and_no_others() {
+fn during_key_rotation_both_keys_are_accepted() {
     let (old, new) = (SigningKeys(vec![key(1)]), SigningKeys(vec![key(2)]));
     let between = SigningKeys(vec![key(2), key(1)]);
     assert!(between.open(&old.seal(&datagram())).is_ok());
--- a/gossip/src/membership/tests.rs
+++ b/gossip/src/membership/tests.rs
@@ -3,7 +3,7 @@
 const DEAD_AFTER: Millis = 5_000;
 
 #[test]
-fn the_dead_are_counted_out_slowly_and_the_living_in_at_once() {
+fn live_count_falls_slowly_and_rises_at_once() {
     let mut membership = Membership::new(0, 10, DEAD_AFTER, 0);
     let heartbeats = |membership: &mut Membership, peers: std::ops::Range<PeerId>, now: Millis| {
         peers.for_each(|p| _ = membership.record_heartbeat(p, now / 100 + 1, now));
--- a/gossip/src/observations/tests.rs
+++ b/gossip/src/observations/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_start_that_the_list_does_not_know_is_believed_of_two_and_by_the_earlier_of_theirs() {
+fn unlisted_restart_needs_two_reports() {
     let mut observations = observations(10, 7);
     let cold = |started| fact(3, FactKind::Restarted, started, 0);
     observations.on_fact(1, &cold(SECOND - 1), NOW);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn of_half_of_the_engines_at_most_a_later_start_is_believed() {
+fn unlisted_restarts_are_bounded() {
     let mut observations = observations(10, 7);
     for peer in 1..3 {
         (0..10).for_each(|e| observations.on_fact(peer, &fact(e, FactKind::Restarted, SECOND, 0), NOW));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_start_is_told_while_it_is_new_and_what_was_said_of_the_life_before_is_gone() {
+fn recent_restart_is_reported_and_older_reports_are_dropped() {
     let mut observations = observations(2, 7);
     (1..4).for_each(|peer| observations.on_fact(peer, &fact(0, FactKind::Slow, 7, 80), NOW));
     observations.set_engines(&BTreeMap::from([(EngineKey(0), SECOND), (EngineKey(1), SECOND + 100)]), NOW);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn only_what_stands_out_is_told_as_slow_and_the_one_in_the_middle_holds() {
+fn only_outlying_slowness_is_reported_and_the_median_counts() {
     let mut observations = observations(4, 7);
     let seen = |engine, slowdown| OwnObservation { engine: EngineKey(engine), slowdown, threads: 0.5 };
     observations.set_own(&[seen(0, Some(1.0)), seen(1, Some(1.2)), seen(2, Some(4.0)), seen(3, None)], NOW);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn what_others_use_is_reckoned_from_a_few_and_all_stays_bounded() {
+fn thread_use_is_estimated_from_few_reports() {
     let mut observations = observations(20, 7);
     for peer in 0..300 {
         for engine in 0..20 {
--- a/gossip/src/outliers/tests.rs
+++ b/gossip/src/outliers/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn one_origin_moves_nothing_and_two_do_until_the_second_ends() {
+fn two_reporters_are_needed_while_both_hold() {
     let mut reports = reports(10);
     for _ in 0..100 {
         assert!(reports.on_fact(1, &fact(3, 800), 0));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn four_single_errors_are_worth_two_findings_but_not_where_all_engines_err() {
+fn four_errors_equal_two_reports_unless_all_engines_fail() {
     let erred = |engine| Fact { kind: FactKind::AttemptFailed.into(), ..fact(engine, 300) };
     let mut reports = reports(10);
     assert!((1..4).all(|peer| reports.on_fact(peer, &erred(3), 0)));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn who_knows_more_is_not_kept_out_by_many_who_know_less() {
+fn heavier_report_replaces_a_lighter_one() {
     let mut reports = reports(10);
     let erred = Fact { kind: FactKind::AttemptFailed.into(), ..fact(3, 100) };
     (0..MAX_REPORTERS as PeerId).for_each(|peer| _ = reports.on_fact(peer, &erred, 0));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn who_accuses_more_than_half_is_heard_for_half() {
+fn reporter_accuses_at_most_half_of_the_engines() {
     let mut reports = reports(10);
     let taken = (0..10).filter(|e| reports.on_fact(1, &fact(*e, 500), 0)).count();
     assert_eq!(taken, 5);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn what_was_said_of_an_engine_or_by_an_origin_before_its_restart_is_gone() {
+fn reports_from_before_a_restart_are_dropped() {
     let mut reports = reports(4);
     reports.on_fact(1, &fact(0, 900), 0);
     reports.on_fact(2, &fact(0, 900), 0);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn it_stays_bounded_and_no_fact_outlives_its_most() {
+fn reports_are_bounded_and_expire() {
     let mut reports = reports(20);
     for peer in 0..300 {
         for engine in 0..20 {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn own_findings_are_said_in_turn_while_they_hold() {
+fn own_reports_are_sent_in_turn_while_they_hold() {
     let mut reports = reports(10);
     assert!(!reports.record_own(EngineKey(99), FactKind::Silent, 1_000, 0), "not listed");
     assert!((0..6).all(|e| reports.record_own(EngineKey(e), FactKind::Silent, 1_000, 0)));
--- a/gossip/src/token_bucket/tests.rs
+++ b/gossip/src/token_bucket/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn no_more_goes_than_the_rate_and_one_bucket() {
+fn rate_and_burst_are_limited() {
     let mut pace = TokenBucket::new(1000.0, 250.0, 0);
     let sent = (0..10_000).filter(|now| pace.take(100.0, *now)).count();
     assert!((100..=102).contains(&sent), "{sent}");
--- a/gossip/tests/fleet.rs
+++ b/gossip/tests/fleet.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_dead_are_noticed_and_the_living_never_taken_for_dead() {
+fn dead_gateways_are_detected_without_false_alarms() {
     for (count, loss) in [(2, 0.0), (20, 0.0), (20, 0.3), (100, 0.3)] {
         let mut fleet = Fleet::new(count, loss, 5);
         let mut alarms = 0;
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn two_that_find_an_engine_bad_are_heard_by_all_and_one_by_nobody() {
+fn two_reports_reach_all_and_one_has_no_effect() {
     for (loss, least) in [(0.0, 58), (0.3, 52), (0.5, 38)] {
         let mut fleet = Fleet::new(60, loss, 7);
         fleet.run(3_000);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_restart_and_a_slow_engine_come_round_whatever_the_size_and_nobody_is_forgotten_for_it() {
+fn observations_spread_at_any_fleet_size() {
     for (count, loss, within) in [(20, 0.0, 5_000), (20, 0.3, 8_000), (100, 0.3, 8_000)] {
         let mut fleet = Fleet::new(count, loss, 9);
         fleet.run(3_000);
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn without_signs_of_life_news_alone_is_told_and_nobody_is_taken_for_dead() {
+fn without_heartbeats_only_reports_are_sent() {
     let setup = |me| NodeSetup {
         me,
         count: 3,
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn old_words_of_a_life_before_are_not_taken() {
+fn datagrams_of_an_earlier_incarnation_are_refused() {
     let (mut old, mut other) =
         (one(0, 3, START, SigningKeys::default()), one(1, 3, START, SigningKeys::default()));
     let mut acts = Vec::new();
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn an_origin_that_restarts_takes_back_what_it_said() {
+fn restart_withdraws_reports() {
     let keys = SigningKeys::default();
     let mut peer = one(0, 4, START, keys.clone());
     let fact = Fact { engine: EngineKey(1), started: 0, kind: 0, ttl_centis: 900, value: 0 };
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn who_sends_more_than_any_may_is_not_read_any_further() {
+fn excess_datagrams_are_not_decoded() {
     let keys = SigningKeys(vec![SigningKey::new(&[5; 32]).unwrap()]);
     let mut peer = one(1, 3, START, keys.clone());
     for n in 0..10_000 {
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn what_is_found_in_the_moment_after_a_sleep_is_kept_back() {
+fn own_reports_after_a_suspension_are_suppressed() {
     let mut peer = one(1, 3, START, SigningKeys::default());
     let mut acts = Vec::new();
     (0..1_000).for_each(|ms| peer.act(START + ms, &mut acts));
@@ -355,7 +355,7 @@
     /// Datagrams in any order, some lost, some twice: state stays bounded, and once each origin's latest was heard the
     /// belief is that of the plain table.
     #[test]
-    fn any_order_loss_and_repeat_ends_in_the_same_belief(
+    fn any_order_loss_and_repeat_gives_the_same_ejections(
         facts in proptest::collection::vec((1u16..7, 0u64..4, 0u8..4, 100u16..900), 1..40),
         order in proptest::collection::vec(any::<prop::sample::Index>(), 0..120),
     ) {
@@ -399,7 +399,7 @@
 
     /// Whatever comes in, nothing panics and nothing of it is taken for more than it is.
     #[test]
-    fn any_bytes_are_taken_or_turned_down(bytes in proptest::collection::vec(any::<u8>(), 0..300), from in 0u16..9) {
+    fn any_bytes_are_accepted_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300), from in 0u16..9) {
         let mut peer = one(0, 8, START, SigningKeys::default());
         let _ = peer.on_datagram(Some(from), &bytes, START);
         let sealed = SigningKeys::default().open(&bytes);
@@ -409,7 +409,7 @@
 
     /// Any datagram that can be written is read as it was.
     #[test]
-    fn what_is_written_is_read(from in any::<u16>(), incarnation in any::<u64>(), sent in any::<u64>(),
+    fn encoded_datagram_round_trips(from in any::<u16>(), incarnation in any::<u64>(), sent in any::<u64>(),
         facts in proptest::collection::vec((any::<u64>(), any::<u32>(), any::<u8>(), any::<u16>()), 0..6)) {
         let facts = facts.into_iter().map(|(engine, started, kind, left)| Fact { engine: EngineKey(engine), started, kind, ttl_centis: left, value: 0 });
         let datagram = Datagram { from, incarnation, sent, facts: facts.collect(), heartbeats: Vec::new() };
--- a/multicore/src/drain_fence/tests.rs
+++ b/multicore/src/drain_fence/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_drain_closes_after_its_grace_and_a_loss_at_once() {
+fn drain_closes_after_its_grace_and_removal_at_once() {
     let mut fences = DrainFences::new(1_000);
     let fence = fences.update(&1, EngineStanding::InService, 0);
     assert!(fence.is_open(u64::MAX - 1));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_engine_that_is_back_in_service_opens_nothing_that_was_closed() {
+fn returning_engine_reopens_no_closed_fence() {
     let mut fences = DrainFences::new(0);
     let before = fences.update(&1, EngineStanding::InService, 0);
     fences.update(&1, EngineStanding::Draining, 10);
--- a/multicore/src/load_table/tests.rs
+++ b/multicore/src/load_table/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn places_come_free_and_go_to_whom_they_are_meant_for() {
+fn released_connections_are_placed_again_by_share() {
     let load_table = LoadTable::new(vec![0.0, 1.0, 1.0]);
     let mut held: Vec<_> = (0..6).map(|_| load_table.place()).collect();
     assert_eq!([0, 1, 2].map(|c| load_table.connections(c)), [0, 3, 3]);
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn what_stands_still_gets_nothing_until_it_is_back() {
+fn stalled_core_gets_no_connection_until_it_recovers() {
     let load_table = LoadTable::new(vec![1.0, 1.0]);
     load_table.set_accepting(0, false);
     let held: Vec<_> = (0..4).map(|_| load_table.place()).collect();
--- a/multicore/src/placement/tests.rs
+++ b/multicore/src/placement/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn shares_are_whole_and_spare_the_judge() {
+fn shares_sum_to_one_and_spare_the_broker_core() {
     for cores in 1..=MAX_CORES {
         let shares = shares(cores);
         assert_eq!(shares.len(), cores);
@@ -26,6 +26,6 @@
 }
 
 #[test]
-fn with_none_fit_a_connection_still_has_a_core() {
+fn without_accepting_cores_a_connection_still_has_one() {
     assert_eq!(pick(&[0.0, 0.5, 0.5], &[(0, true), (9, false), (3, false)]), 2);
 }
--- a/multicore/src/stall_detector/tests.rs
+++ b/multicore/src/stall_detector/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_stall_is_told_once_and_its_end_with_its_length() {
+fn stall_is_reported_once_and_its_end_with_its_length() {
     let mut watch = StallDetector::new(2, 500);
     assert_eq!(watch.check(0, [(0, false), (0, false)]), []);
     assert_eq!(watch.check(200, [(200, false), (0, false)]), []);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn who_stood_still_itself_blames_nobody() {
+fn late_check_reports_no_stall() {
     let mut watch = StallDetector::new(1, 500);
     watch.check(0, [(0, false)]);
     assert_eq!(watch.check(3000, [(0, false)]), [], "the machine slept, not the core");
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_thread_that_has_ended_is_lost_for_good_and_said_once() {
+fn ended_thread_is_reported_once() {
     let mut watch = StallDetector::new(1, 500);
     assert_eq!(watch.check(0, [(0, true)]), [Change::Ended(0)]);
     assert_eq!(watch.check(100, [(90, true)]), []);
--- a/multicore/tests/model.rs
+++ b/multicore/tests/model.rs
@@ -23,7 +23,7 @@
 
 /// Whoever has heard of the drain in any way finds the fence closed: the flag stands for a message.
 #[test]
-fn no_write_follows_news_of_the_drain() {
+fn no_write_follows_a_published_drain() {
     loom::model(|| {
         let (fence, told) = (DrainFence::default(), Arc::new(AtomicBool::new(false)));
         let writer = {
@@ -43,7 +43,7 @@
 /// Time passes on one core while another closes and reopens: an order that holds the old fence is never written
 /// at or past its instant, whatever the engine's new fence says.
 #[test]
-fn an_old_order_is_not_written_past_its_fence_though_its_engine_is_back() {
+fn old_attempt_is_not_written_after_its_engine_returns() {
     loom::model(|| {
         let mut fences = DrainFences::new(5);
         let old = fences.update(&1, EngineStanding::InService, 0);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_ledger_counts_what_is_held_and_ends_at_none() {
+fn load_table_counts_held_connections_and_ends_at_zero() {
     loom::model(|| {
         let load_table = LoadTable::new(vec![0.5, 0.5]);
         let others: Vec<_> = (0..2)
--- a/operations/src/capacity/tests.rs
+++ b/operations/src/capacity/tests.rs
@@ -2,7 +2,7 @@
 use ProcessStage::{Closing, Serving, Starting};
 
 #[test]
-fn the_parts_of_all_that_live_make_one_whole() {
+fn shares_of_live_processes_sum_to_one() {
     let stages = [Starting, Serving, Closing];
     for all in stages.iter().flat_map(|a| stages.iter().map(move |b| [*a, *b, Closing])) {
         let shares = (0..all.len()).map(|own| {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn one_alone_has_all_and_two_that_serve_half_each() {
+fn lone_process_has_everything_and_two_have_half_each() {
     assert_eq!(capacity_share(Serving, &[]), CapacityShare::default());
     assert_eq!(capacity_share(Starting, &[Serving]), CapacityShare { share: 0.5, relieved: true });
     assert_eq!(capacity_share(Serving, &[Starting]), CapacityShare { share: 0.5, relieved: false });
--- a/operations/src/override_codec/tests.rs
+++ b/operations/src/override_codec/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_cut_record_is_none_wherever_it_is_cut() {
+fn truncated_record_is_refused() {
     let whole = write(&some());
     for size in 0..whole.len() {
         assert!(read(&whole[..size]).is_err(), "{size} of {} bytes", whole.len());
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn no_changed_byte_goes_unseen() {
+fn every_changed_byte_is_detected() {
     let whole = write(&some());
     for at in 0..whole.len() {
         for change in [0x01, 0x20, 0x80] {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn another_version_is_not_guessed_at() {
+fn unknown_version_is_refused() {
     let text = String::from_utf8(write(&some())).unwrap().replace("words 1\n", "words 2\n");
     assert_eq!(read(text.as_bytes()), Err(OverrideRecordError::Version));
     assert_eq!(read(&vec![b'x'; MAX_RECORD_BYTES + 1]), Err(OverrideRecordError::TooLarge));
--- a/operations/src/overrides.rs
+++ b/operations/src/overrides.rs
@@ -1,5 +1,5 @@
 //! Overrides of the endpoint list by operators. An override holds until the operators return the engine to the list's
-//! state. Two processes may be told different ones: for each engine the later one wins, so that merging in any order
+//! state. Two processes may receive different ones: for each engine the later one wins, so that merging in any order
 //! gives the same result.
 
 use crate::Micros;
--- a/operations/src/overrides/tests.rs
+++ b/operations/src/overrides/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_call_out_may_come_twice_and_one_call_back_undoes_both() {
+fn repeated_out_is_undone_by_one_return() {
     let mut overrides = Overrides::default();
     assert_eq!(overrides.set("s-1", Override::Out, 10), Ok(true));
     assert_eq!(overrides.set("s-1", Override::Out, 20), Ok(false));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_later_word_holds_though_the_clock_has_stepped_back() {
+fn later_override_holds_despite_a_clock_step() {
     let mut overrides = Overrides::default();
     overrides.set("s-1", Override::Out, 1_000).unwrap();
     let mut other = overrides.clone();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn words_stay_bounded_and_none_that_an_engine_is_out_is_forgotten() {
+fn overrides_are_bounded_and_out_is_never_dropped() {
     let mut overrides = Overrides::default();
     for n in 0..MAX_OVERRIDES as u64 {
         overrides.set(&format!("out-{n}"), Override::Out, n).unwrap();
--- a/operations/tests/model.rs
+++ b/operations/tests/model.rs
@@ -38,7 +38,7 @@
 
     /// The model: a set of engines that are out, changed by each call in the order in which they are answered.
     #[test]
-    fn two_processes_hold_what_was_said_last_whatever_their_clocks_say(
+    fn two_processes_agree_on_the_latest_override(
         steps in prop::collection::vec(step(), 1..60),
     ) {
         let (mut record, mut model) = (write(&Overrides::default()), BTreeSet::new());
@@ -68,7 +68,7 @@
     }
 
     #[test]
-    fn merging_comes_to_the_same_in_any_order(
+    fn merge_is_independent_of_order(
         words in prop::collection::vec((0usize..3, 0u8..4, any::<bool>(), 0u64..20), 0..40),
     ) {
         let mut hands = [Overrides::default(), Overrides::default(), Overrides::default()];
--- a/recovery/src/idempotency_keys/tests.rs
+++ b/recovery/src/idempotency_keys/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_retry_goes_where_its_first_try_went_and_nowhere_while_that_is_not_known() {
+fn retry_follows_its_first_attempt_or_waits() {
     let mut keys = KnownKeys::new(&[kept(1, START - 2_000), kept(2, START - 12_001)], 12_000, START);
     let at = START + 500;
     assert_eq!(keys.on_request(1, KEYED, true, &back(at), at), KeyVerdict::Repeat { group: 3, age: 2_500 });
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_is_sent_in_this_life_is_written_once_and_binds_by_its_first_attempt() {
+fn new_key_is_recorded_once_and_binds_its_group() {
     let mut keys = KnownKeys::new(&[], 12_000, START);
     assert_eq!(
         keys.on_send(5, Some(1), START + 10),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn of_a_clock_gone_back_a_key_lasts_and_all_stays_bounded() {
+fn clock_step_prolongs_a_key_and_keys_are_bounded() {
     let mut keys = KnownKeys::new(&[kept(1, START + 3_600_000)], 12_000, START);
     assert_eq!(keys.on_request(1, KEYED, true, &back(START), START), KeyVerdict::Repeat { group: 3, age: 0 });
     for key in 0..3 * MAX_KEYS as u64 {
--- a/recovery/src/snapshot/tests.rs
+++ b/recovery/src/snapshot/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_taken_back_and_its_window_begins_with_the_first() {
+fn record_that_may_have_run_is_not_undone() {
     let mut memory = Snapshot::default();
     memory.add(key(1, KeyProgress::Sent, 100));
     memory.add(key(1, KeyProgress::NeverRan, 300));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_left_out_and_the_rest_is_bounded() {
+fn invalid_entries_are_dropped_and_the_rest_is_bounded() {
     let engine = |id: &str, slowdown| EngineRecord { id: id.into(), started: 0, slowdown, ejected_until: 0 };
     let class = |name: &str, exec| ClassRecord { name: name.into(), exec, best: None, width: (1.0, 1.0) };
     let memory = Snapshot {
--- a/recovery/src/startup_phases/tests.rs
+++ b/recovery/src/startup_phases/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn an_ordinary_start_waits_for_nothing_but_a_cold_pool() {
+fn ordinary_start_waits_only_for_a_warm_pool() {
     let mut one = StartupPhases::new(setup(false, false));
     assert_eq!(one.phase(), StartupPhase::Admitting);
     assert_eq!(one.admits(0.5), AdmissionDecision::Admit);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn among_living_ones_it_is_through_as_soon_as_they_have_spoken() {
+fn start_among_live_gateways_ends_with_their_answers() {
     let mut one = StartupPhases::new(setup(true, true));
     assert_eq!(one.phase(), StartupPhase::Settling);
     one.set_fleet_status(FleetStatus { heard: 9, older: 8 }, START + 20);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn after_a_power_loss_it_goes_on_by_time_where_nobody_answers() {
+fn start_after_a_power_loss_proceeds_by_timeouts() {
     let mut one = StartupPhases::new(setup(true, true));
     one.set_fleet_status(FleetStatus { heard: 9, older: 1 }, START + 20);
     let AdmissionDecision::NotBefore(when) = one.admits(0.0) else { panic!("let in") };
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn who_is_turned_away_comes_back_spread_out() {
+fn retries_of_rejected_clients_are_spread() {
     let one = StartupPhases::new(setup(true, true));
     let at = |draw| match one.admits(draw) {
         AdmissionDecision::NotBefore(when) => when,
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_retry_of_which_nobody_knows_waits_until_its_window_is_over() {
+fn unknown_retry_waits_for_the_end_of_its_window() {
     let mut one = StartupPhases::new(setup(false, false));
     one.set_warm_share(1.0, START + 10);
     assert_eq!(one.phase(), StartupPhase::Serving);
--- a/recovery/src/trust/tests.rs
+++ b/recovery/src/trust/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn what_protects_is_believed_easily_and_given_up_late() {
+fn forbidding_facts_are_accepted_easily() {
     let year = 365 * 24 * 3_600_000;
     assert_eq!(of(Fact::Override, Source::Disk, year, CLOCK), Confidence::Holds);
     assert_eq!(of(Fact::Override, Source::Peers(1), 0, OBSERVATIONS), Confidence::Protects);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn what_permits_is_believed_late() {
+fn permitting_facts_need_strong_sources() {
     for source in [Source::Disk, Source::Peers(9), Source::NameServer, Source::Store] {
         assert_eq!(of(Fact::NeverRan, source, 0, NONE), Confidence::Nothing, "{source:?}");
     }
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_was_learned_is_a_prior_that_fades_and_gives_way() {
+fn statistics_are_a_decaying_prior() {
     assert_eq!(of(Fact::Latency, Source::Disk, 0, NONE), Confidence::Prior(1.0));
     assert_eq!(of(Fact::Latency, Source::Disk, STATS_HALF_LIFE, NONE), Confidence::Prior(0.5));
     assert_eq!(of(Fact::Latency, Source::Disk, 10 * STATS_HALF_LIFE, NONE), Confidence::Nothing);
--- a/recovery/src/write_ahead_log/tests.rs
+++ b/recovery/src/write_ahead_log/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_torn_tail_takes_nothing_that_was_whole() {
+fn torn_tail_loses_no_whole_entry() {
     let entries: Vec<_> = keys().iter().map(|k| encode_entry(OWNER, 3, k)).collect();
     let all = entries.concat();
     assert_eq!(replay(OWNER, 3, &all), Replay { entries: keys(), whole_bytes: all.len() });
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_is_left_of_an_earlier_log_is_none() {
+fn entries_of_an_earlier_log_are_ignored() {
     let all = keys().iter().flat_map(|k| encode_entry(OWNER, 3, k)).collect::<Vec<_>>();
     assert_eq!(replay(OWNER, 4, &all), Replay { entries: Vec::new(), whole_bytes: 0 });
     assert_eq!(
--- a/recovery/tests/crash.rs
+++ b/recovery/tests/crash.rs
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn power_lost_at_any_point_of_any_of_three_lives_loses_nothing_that_was_promised() {
+fn power_loss_at_any_point_loses_nothing_acknowledged() {
     const ROUNDS: u64 = 6;
     let points = {
         let mut disk = Disk::default();
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn an_error_at_any_point_loses_nothing_and_does_not_last() {
+fn io_error_at_any_point_loses_nothing() {
     let mut disk = Disk::default();
     live(&mut disk, 0, 12);
     for fails in 1..=disk.done {
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn of_a_bad_newest_the_one_before_is_taken_and_all_logs_from_there_on() {
+fn damaged_snapshot_falls_back_to_the_one_before() {
     let mut disk = Disk::default();
     let promised = live(&mut disk, 0, 7);
     let newest = disk.names.keys().filter(|n| n.starts_with("record-")).max().unwrap().clone();
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn what_is_not_ours_is_not_used_and_says_why() {
+fn foreign_snapshots_are_refused_with_a_reason() {
     let bytes = snapshot_codec::encode(OWNER, 4, &memory(&[key(1)]));
     let read =
         |owner, now| snapshot_codec::decode(&bytes).and_then(|r| snapshot_codec::check_owner(r, owner, now));
@@ -280,7 +280,7 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_a_record_or_none(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn any_bytes_are_a_snapshot_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         prop_assert!(snapshot_codec::decode(&bytes).is_err());
         let mut ours = snapshot_codec::encode(OWNER, 1, &memory(&[key(2)]));
         let at = bytes.first().copied().unwrap_or(0) as usize % ours.len();
--- a/shared-store/src/circuit_breaker/tests.rs
+++ b/shared-store/src/circuit_breaker/tests.rs
@@ -3,7 +3,7 @@
 const WAIT: Duration = Duration::from_millis(25);
 
 #[test]
-fn it_rests_longer_each_time_and_lets_one_question_through() {
+fn pause_grows_and_one_trial_call_is_allowed() {
     let (mut breaker, mut now) = (CircuitBreaker::new(3), Instant::now());
     assert_eq!(breaker.on_failure(Fault::Timeout, now), None);
     assert_eq!(breaker.on_failure(Fault::Timeout, now), None);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_trial_that_never_ends_gives_way_to_another() {
+fn trial_past_its_deadline_allows_another() {
     let (mut breaker, now) = (CircuitBreaker::new(3), Instant::now());
     breaker.on_failure(Fault::Error, now);
     let later = now + MIN_PAUSE * 2;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn front_ends_come_back_apart_from_each_other() {
+fn pauses_differ_between_gateways() {
     let now = Instant::now();
     let back = |seed: u64| {
         let mut breaker = CircuitBreaker::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
--- a/shared-store/src/idempotency/tests.rs
+++ b/shared-store/src/idempotency/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_group_that_was_written_is_the_keys_for_good_though_nothing_ran_there() {
+fn recorded_group_binds_the_key_for_good() {
     let mut keyed = keyed(Scope::Group, false);
     assert_eq!(keyed.on_claim_reply(found(StoredState::Absent), true, 5), (RequestStep::Proceed(None), None));
     let sent = SendRecord { group: 1, at_ms: 5 };
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_mark_that_is_not_known_to_be_written_sends_nothing_where_a_group_counts() {
+fn unconfirmed_record_prevents_a_send_to_a_group() {
     for written in [None, Some(false)] {
         let mut keyed = keyed(Scope::Group, false);
         keyed.on_claim_reply(found(StoredState::Absent), true, 5);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_earlier_try_binds_until_its_window_ends_by_the_later_clock() {
+fn earlier_attempt_binds_until_its_window_ends() {
     let at = |at_ms| StoredState::Sent(SendRecord { group: 3, at_ms });
     for scope in [Scope::All, Scope::Group] {
         let go =
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_nobody_can_know_is_refused_and_stays_unknown() {
+fn unknown_state_is_rejected_and_stays_unknown() {
     let unknown = [StoredState::Absent, StoredState::Stage(Stage::Unknown), StoredState::Unreadable];
     for prior in unknown {
         let (step, close) = keyed(Scope::Group, true).on_claim_reply(found(prior.clone()), true, 5);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn without_the_store_only_a_retry_that_could_run_twice_is_kept_back() {
+fn without_the_store_only_unsafe_retries_are_rejected() {
     for (scope, again, goes) in
         [(Scope::All, true, true), (Scope::Group, false, true), (Scope::Group, true, false)]
     {
--- a/shared-store/src/quota_lease/tests.rs
+++ b/shared-store/src/quota_lease/tests.rs
@@ -3,7 +3,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 
 #[test]
-fn a_request_pays_from_the_lease_and_what_never_ran_is_paid_back() {
+fn request_is_charged_to_the_lease_and_refunded_if_it_never_ran() {
     let (mut lease, now) = (QuotaLease::new(1600, 4, STORE_DOWN_SHARE), Instant::now());
     let window = lease.advance_to(7);
     assert_eq!(lease.charge(4, true, now), SpendResult::Lease(25));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_store_with_nothing_left_is_not_asked_at_once_again() {
+fn exhausted_store_is_not_asked_again_at_once() {
     let (mut lease, now) = (QuotaLease::new(100, 1, STORE_DOWN_SHARE), Instant::now());
     let window = lease.advance_to(7);
     lease.add_leased(window, 6, 2, now);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn units_end_with_their_window_and_a_small_step_back_is_none() {
+fn units_expire_with_their_window_despite_a_small_clock_step() {
     let (mut lease, now) = (QuotaLease::new(100, 1, STORE_DOWN_SHARE), Instant::now());
     lease.advance_to(7);
     lease.add_leased(6, 6, 6, now);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_nobody_draws_on_goes_back() {
+fn idle_units_are_returned() {
     let (mut lease, now) = (QuotaLease::new(100, 1, STORE_DOWN_SHARE), Instant::now());
     let window = lease.advance_to(7);
     lease.add_leased(window, 6, 6, now);
@@ -61,7 +61,7 @@
 
     /// Any order of spends, cuts, losses of answers, refunds and idle spells at several front ends.
     #[test]
-    fn no_more_than_the_budget_and_half_of_it_is_granted_in_a_window(
+    fn at_most_one_and_a_half_budgets_are_granted_in_a_window(
         budget in 1u64..400,
         fronts in 1usize..6,
         steps in prop::collection::vec((0usize..6, 0u8..10, 1u64..30, any::<bool>()), 1..400),
--- a/shared-store/src/write_behind/tests.rs
+++ b/shared-store/src/write_behind/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_oldest_goes_where_there_is_no_room() {
+fn full_queue_drops_the_oldest() {
     let mut outbox = WriteBehindQueue::new(3);
     (0..5).for_each(|n| outbox.push(n));
     assert_eq!((outbox.take(2), outbox.dropped()), (vec![2, 3], 2));
--- a/shared-store/tests/schedules.rs
+++ b/shared-store/tests/schedules.rs
@@ -818,7 +818,7 @@
 }
 
 #[test]
-fn without_the_fence_the_checker_finds_what_happened_twice() {
+fn without_fencing_the_checker_finds_duplicates() {
     let sum = total(0..SCHEDULES, false);
     println!("without the fence: {sum:?}");
     assert!(sum.duplicates > 0, "{sum:?}");
--- a/benchlink/src/gossip/tests.rs
+++ b/simulator-adapter/src/gossip/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn notes_carry_what_instances_find_and_four_errors_are_heard_of() {
+fn notes_carry_reports_between_instances() {
     let mut peers: Vec<_> = (0..6).map(|n| peer(n, Some(true)).unwrap()).collect();
     let mut heard = Vec::new();
     for step in 1..100 {
@@ -39,6 +39,6 @@
 }
 
 #[test]
-fn where_it_is_not_allowed_nothing_is_told() {
+fn nothing_is_sent_where_not_allowed() {
     assert!(peer(0, Some(false)).is_none() && peer(0, None).is_none());
 }
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -1,4 +1,4 @@
-//! Engines as the endpoint list tells them.
+//! Entries of the endpoint list.
 
 use super::ids::{CellId, EngineId, KindId, Time, ZoneId};
 
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -51,7 +51,7 @@
 pub enum ProgressReport {
     /// Share of the query that is done, from 0 to 1; rough.
     Done(f64),
-    /// It spills to disk; so many MB of memory are missing.
+    /// It spills to disk; this many MB of memory are missing.
     Spilling(f64),
     /// It waits for memory.
     WaitingForMemory,
@@ -96,10 +96,10 @@
     EjectedByGossip {
         /// Which engine.
         engine: EngineId,
-        /// For how long, if nothing more is heard.
+        /// For how long, without further reports.
         duration: Duration,
     },
-    /// Several other gateways know of a restart of an engine that the endpoint list has not told yet.
+    /// Several other gateways report a restart of an engine that the endpoint list does not have yet.
     EngineRestarted {
         /// Which engine.
         engine: EngineId,
--- a/src/observe.rs
+++ b/src/observe.rs
@@ -1,4 +1,4 @@
-//! What a gateway observes of the engines, what it tells others of that, and what another process of it may restore at
+//! What a gateway observes of the engines, what it reports to others of that, and what another process of it may restore at
 //! its start. Restored statistics are a prior: a few own samples outweigh them. Nothing here decides anything.
 
 use crate::interface::{ClassLatencyStats, EngineId, EngineObservation, EngineState, SampledMean};
--- a/src/policy/bounds.rs
+++ b/src/policy/bounds.rs
@@ -15,7 +15,7 @@
 /// Share of an engine's failures that counts on in the next period.
 const FAILURE_DECAY: f64 = 0.75;
 
-/// What the latest evidence says of an engine.
+/// The latest evidence on the load of an engine.
 struct Assessment {
     /// The design's f: latency over the objective.
     f: f64,
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -11,7 +11,7 @@
 };
 use crate::validation::check;
 
-/// Pause before the endpoint list is subscribed to anew.
+/// Pause before the endpoint list is subscribed to again.
 const RESUBSCRIBE_AFTER: i64 = SECOND;
 
 /// The scheduler of one gateway.
@@ -139,7 +139,7 @@
         self.scale_bounds(self.configured_gateways * count / f64::from(self.settings.gateways));
     }
 
-    /// This gateway's part of so many threads a core. That one query fits is left to the selection.
+    /// This gateway's part of a number of threads a core. That one query fits is left to the selection.
     pub(crate) fn gateway_share(&self, threads_per_core: f64, kind: Option<KindId>) -> f64 {
         threads_per_core * self.settings.cores(kind) / self.live_gateways
     }
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -121,7 +121,7 @@
     }
 
     /// Other gateways know of a later start. Its slow start counts from then; what was learned of the process before it
-    /// is forgotten once the endpoint list tells of the start.
+    /// is dropped once the endpoint list has the restart.
     pub(crate) fn set_restarted(&mut self, started: Time, now: i64) {
         self.started_at = self.started_at.max(Some(instant(started).min(now)));
     }
@@ -131,7 +131,7 @@
         self.observed.at > 0 && now - self.observed.at < OBSERVATION_TTL
     }
 
-    /// What other gateways may be told of it.
+    /// What other gateways may learn of it.
     pub(crate) fn observation(&self, slowdown: Option<f64>) -> EngineObservation {
         let ejected_until = (self.ejected_until > 0).then_some(Time(self.ejected_until as u64));
         EngineObservation { engine: self.entry.engine, slowdown, threads: self.threads, ejected_until }
--- a/src/state/mean.rs
+++ b/src/state/mean.rs
@@ -16,7 +16,7 @@
         self.value += (sample - self.value) / self.samples;
     }
 
-    /// The mean, if it rests on so many samples.
+    /// The mean, if it has at least this many samples.
     pub(crate) fn get(&self, min_samples: f64) -> Option<f64> {
         (self.samples >= min_samples).then_some(self.value)
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -31,7 +31,7 @@
     time.0.min(MAX_MICROS as u64) as i64
 }
 
-/// A duration of so many microseconds; a negative one is zero.
+/// A duration in microseconds; a negative one is zero.
 pub(crate) fn duration(micros: i64) -> Duration {
     Duration::from_micros(micros.max(0) as u64)
 }
--- a/standins/src/model/tests.rs
+++ b/testkit/src/model/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_cold_engine_is_slower_and_falls_over_when_it_is_sent_too_much() {
+fn cold_engine_is_slower_and_fails_under_overload() {
     let cold = Shape { cores: 1.0, cold: Some((0.33, 15.0)), ..Shape::default() };
     let mut model = Model::new(cold);
     assert_eq!(model.take(0, 0.5, 1.0), Taken::Runs);
--- a/standins/src/redis/tests.rs
+++ b/testkit/src/redis/tests.rs
@@ -1,3 +1,4 @@
+use super::commands::WRONG_TYPE;
 use super::*;
 use crate::wire::put_array;
 
@@ -16,7 +17,7 @@
 }
 
 #[tokio::test]
-async fn commands_do_what_their_pages_say() {
+async fn commands_follow_their_documentation() {
     let redis = Redis::default();
     let mut stream = connect(&redis).await;
     let cases = [
@@ -45,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn troubles_come_in_turn_and_say_what_was_applied() {
+async fn scripted_faults_are_applied_in_turn() {
     let redis = Redis::default();
     redis.script([
         Some(Trouble::Error("LOADING Redis is loading the dataset in memory")),
--- a/standins/src/record.rs
+++ b/testkit/src/request_log.rs
@@ -31,7 +31,7 @@
 
 /// A cold start: which engine, when, and what the rule allows it.
 #[derive(Clone, Debug)]
-pub struct ColdStart {
+pub struct SlowStart {
     pub engine: String,
     pub at: Instant,
     pub cores: f64,
@@ -43,7 +43,7 @@
     pub multiple: f64,
 }
 
-impl ColdStart {
+impl SlowStart {
     /// Work that may be sent in the window that ends at `at`.
     pub fn budget(&self, at: Instant) -> Duration {
         let age = at.saturating_duration_since(self.at).as_secs_f64() / self.ramp.as_secs_f64().max(1e-9);
@@ -79,7 +79,7 @@
 
     /// For each send to an engine while it was cold: the work in the window that ends there, over what the rule
     /// allows it.
-    fn cold_windows(&self, start: &ColdStart) -> Vec<f64> {
+    fn slow_start_windows(&self, start: &SlowStart) -> Vec<f64> {
         let seen = self.lock();
         let sent =
             seen.iter().filter(|s| s.engine == start.engine && s.at >= start.at).filter_map(|s| {
@@ -103,13 +103,13 @@
 
     /// Windows in which a cold engine was sent more work than the rule allows, each counted at the send that
     /// went over.
-    pub fn cold_overruns(&self, start: &ColdStart) -> usize {
-        self.cold_windows(start).into_iter().filter(|w| *w > 1.0).count()
+    pub fn slow_start_overruns(&self, start: &SlowStart) -> usize {
+        self.slow_start_windows(start).into_iter().filter(|w| *w > 1.0).count()
     }
 
     /// The fullest window of a cold engine, over what the rule allows.
-    pub fn cold_peak(&self, start: &ColdStart) -> f64 {
-        self.cold_windows(start).into_iter().fold(0.0, f64::max)
+    pub fn slow_start_peak(&self, start: &SlowStart) -> f64 {
+        self.slow_start_windows(start).into_iter().fold(0.0, f64::max)
     }
 
     /// Attempts of a key that arrived later than this after the first of that key: the engines may have forgotten it.
--- a/standins/src/record/tests.rs
+++ b/testkit/src/request_log/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn the_checkers_find_what_they_are_for() {
+fn checkers_detect_violations() {
     let record = Record::default();
     let told = Instant::now();
     record.see("a", "1", began(3_000));
@@ -20,7 +20,7 @@
     assert_eq!(record.sent_after_window(Duration::ZERO), 1, "the second of the key");
     assert_eq!(record.late_sends("a", told, Duration::from_secs(2)), 0);
     let second = Duration::from_secs(1);
-    let cold = ColdStart {
+    let cold = SlowStart {
         engine: "a".into(),
         at: told,
         cores: 4.0,
@@ -29,9 +29,9 @@
         window: second,
         multiple: 2.5,
     };
-    assert_eq!(record.cold_overruns(&cold), 0, "3.0 s of 3.3 s");
+    assert_eq!(record.slow_start_overruns(&cold), 0, "3.0 s of 3.3 s");
     record.see("a", "3", began(400));
-    assert_eq!(record.cold_overruns(&cold), 1);
+    assert_eq!(record.slow_start_overruns(&cold), 1);
     record.see("a", "1", What::Ended);
     record.see("b", "2", What::Killed);
     record.see("a", "4", began(1));
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_engine_that_fails_fast_does_not_draw_the_traffic() {
+fn fast_failing_engine_does_not_attract_traffic() {
     let mut rig = Rig::new(settings(), 4);
     let act = |e: EngineId| Some(if e.0 == 0 { Outcome::Error } else { Outcome::Ok });
     trickle(&mut rig, 40, act);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn requests_that_every_engine_answers_with_an_error_put_no_engine_away() {
+fn failing_requests_eject_no_engine() {
     let mut rig = Rig::new(settings(), 4);
     trickle(&mut rig, 40, |_| Some(Outcome::Ok));
     for _ in 0..40 {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_front_end_that_meets_an_engine_every_few_seconds_learns_from_two_errors_or_one_refused_connection() {
+fn sparse_traffic_ejects_after_two_errors_or_one_refused_connection() {
     // Of twelve meetings in 24 s; then quarantines of 1, 2, 4 and 8 s, a query after each.
     let (errors, refused) =
         (asked_of_a_bad_engine(Outcome::Error, 0), asked_of_a_bad_engine(Outcome::ConnectFailed, 0));
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_attempt_that_misses_its_notes_is_tried_elsewhere_though_its_engine_is_well() {
+fn attempt_without_progress_reports_is_retried_elsewhere() {
     let mut settings = settings();
     settings.engine.progress_interval = Some(ms(500));
     let mut rig = Rig::new(settings, 2);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn an_engine_that_hangs_during_a_list_outage_is_found_and_left() {
+fn hung_engine_is_ejected_during_a_discovery_outage() {
     let mut settings = settings();
     settings.discovery = Discovery::Subscribed;
     let mut rig = Rig::new(settings, 3);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn fast_errors_while_another_engine_starts_cold_do_not_push_it_over() {
+fn fast_errors_do_not_overload_an_engine_in_slow_start() {
     let mut rig = Rig::new(settings(), 3);
     rig.serve(0, 200, ms(20));
     let entry = EngineEntry { started: Some(Time(rig.now)), ..EngineEntry::new(EngineId(3)) };
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_burst_on_a_gateway_just_restarted_is_answered_in_full() {
+fn burst_after_a_restart_is_answered_in_full() {
     let mut rig = Rig::new(settings(), 2);
     let ids: Vec<_> = (0..400).map(|_| rig.arrive(0)).collect();
     let out: Vec<_> = ids.iter().filter(|id| !rig.sent(**id).is_empty()).copied().collect();
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn when_every_engine_is_silent_at_most_half_are_shut_out() {
+fn at_most_half_of_the_engines_are_ejected_for_silence() {
     let mut rig = Rig::new(settings(), 4);
     trickle(&mut rig, 30, |_| Some(Outcome::Ok));
     trickle(&mut rig, 60, |_| None);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn late_or_absurd_reports_change_nothing() {
+fn late_or_invalid_reports_change_nothing() {
     let run = |load: Option<LoadReport>| {
         let mut rig = Rig::new(settings(), 3);
         for _ in 0..50 {
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_bad_plan_is_called_off_once_and_not_where_that_does_not_help() {
+fn runaway_query_is_cancelled_once() {
     let mut settings = settings();
     settings.engine.progress_interval = Some(ms(500));
     let mut rig = Rig::new(settings, 2);
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_load_is_held_while_a_load_of_ours_has_its_tables() {
+fn bulk_load_waits_for_another_on_its_tables() {
     let mut settings = settings();
     settings.classes[1].is_load = true;
     let mut rig = Rig::new(settings, 1);
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn late_loads_do_not_crowd_out_what_is_in_time() {
+fn late_bulk_loads_do_not_displace_requests_in_time() {
     let mut settings = settings();
     settings.classes[1].late_weight = 0.6;
     let mut rig = Rig::new(settings, 0);
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn what_is_told_to_cost_more_is_refused_sooner() {
+fn larger_estimates_are_rejected_sooner() {
     let mut rig = Rig::new(settings(), 0);
     let told = |rig: &mut Rig, work| {
         let arrival = Arrival { work: Some(ms(work)), ..rig.arrival(1) };
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn a_light_gateway_spreads_its_queries_over_the_pool() {
+fn lightly_loaded_gateway_spreads_its_queries() {
     let mut rig = Rig::new(settings(), 4);
     let ids = trickle(&mut rig, 40, |_| Some(Outcome::Ok));
     for engine in 0..4 {
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn a_light_gateway_keeps_to_its_connections_where_engines_close_idle_ones() {
+fn lightly_loaded_gateway_reuses_its_connections() {
     let mut settings = settings();
     settings.engine.idle_timeout = Some(ms(15_000));
     let mut rig = Rig::new(settings, 30);
@@ -405,7 +405,7 @@
 }
 
 #[test]
-fn a_hundred_gateways_bear_the_swings_that_cancel_out_among_them() {
+fn a_hundred_gateways_allow_for_bursts() {
     // Even parts of 7.2 threads. Each has as many queries as chance gives it, then five times the even part.
     let sent = |queries: &dyn Fn(u64) -> usize| -> (usize, usize) {
         let one = |ordinal| {
@@ -427,7 +427,7 @@
 }
 
 #[test]
-fn wide_queries_do_not_shut_out_those_that_earn_most_for_their_work() {
+fn wide_queries_do_not_displace_the_highest_value_density() {
     let mut rig = one_of_a_hundred(0, 0.95);
     let sent = |rig: &Rig, ids: &[RequestId]| ids.iter().filter(|id| !rig.sent(**id).is_empty()).count();
     let long: Vec<_> = (0..8).map(|_| rig.arrive(1)).collect();
@@ -437,7 +437,7 @@
 }
 
 #[test]
-fn loads_run_a_step_ahead_where_priorities_are_heeded() {
+fn bulk_loads_run_at_high_priority_where_supported() {
     let mut settings = settings();
     settings.engine.priorities = true;
     settings.classes[1].is_load = true;
@@ -455,7 +455,7 @@
 }
 
 #[test]
-fn an_attempt_that_would_outlast_its_client_is_not_run_to_the_end() {
+fn attempt_that_would_outlive_its_deadline_is_cancelled() {
     let mut settings = settings();
     settings.engine.progress_interval = Some(ms(500));
     let mut rig = Rig::new(settings, 2);
@@ -472,7 +472,7 @@
 }
 
 #[test]
-fn hundreds_of_gateways_do_not_push_a_cold_engine_over() {
+fn hundreds_of_gateways_keep_to_a_slow_start_budget() {
     // All told at once of an engine that has just started; each has wide queries in hand, together a full load.
     let sent = (0..300u64)
         .filter(|seed| {
@@ -491,7 +491,7 @@
 }
 
 #[test]
-fn thin_evidence_of_one_engine_is_filled_in_from_all() {
+fn sparse_evidence_is_completed_from_the_pool() {
     // Twenty engines, and no more than one slow answer from each: together they tell of a jam.
     let out = |takes| {
         let mut settings = settings();
@@ -507,7 +507,7 @@
 }
 
 #[test]
-fn reports_stand_in_where_own_latencies_are_few() {
+fn load_reports_are_used_where_own_latencies_are_few() {
     let out = |cpu| {
         let mut settings = settings();
         settings.gateways = 300;
@@ -521,7 +521,7 @@
 }
 
 #[test]
-fn reports_of_busy_engines_bind_nothing_while_the_pool_s_latencies_are_good() {
+fn busy_reports_do_not_apply_while_latencies_are_good() {
     // Enough answers of the pool for its own latencies to judge: 0.7 busy is no pressure by itself.
     let mut rig = one_of_a_hundred(0, 0.7);
     serve_reporting(&mut rig, 20, 0.7);
@@ -532,7 +532,7 @@
 }
 
 #[test]
-fn a_class_whose_mean_is_past_its_aim_is_held_for_a_moment_before_it_is_refused() {
+fn class_past_its_objective_waits_before_it_is_rejected() {
     let mut settings = settings();
     settings.classes[1].late_weight = 0.0;
     let mut rig = Rig::new(settings, 1);
@@ -552,7 +552,7 @@
 }
 
 #[test]
-fn ties_go_to_the_engine_that_last_looked_least_slow() {
+fn ties_go_to_the_least_slow_engine() {
     let mut rig = Rig::new(settings(), 3);
     rig.serve(0, 60, ms(20));
     let slow = rig.arrive(0);
@@ -564,7 +564,7 @@
 }
 
 #[test]
-fn what_nobody_waits_for_falls_back_where_nothing_is_cancelled() {
+fn abandoned_work_is_demoted_where_nothing_is_cancelled() {
     let mut settings = settings();
     settings.limits.cancel = false;
     settings.engine.priorities = true;
@@ -580,7 +580,7 @@
 }
 
 #[test]
-fn a_gateway_that_stood_still_does_not_blame_engines() {
+fn stalled_gateway_blames_no_engine() {
     let mut rig = Rig::new(settings(), 3);
     rig.serve(0, 60, ms(20));
     let id = rig.arrive(0);
--- a/tests/hearsay.rs
+++ b/tests/gossip_ejections.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_engine_that_others_have_found_to_fail_is_left_alone_and_tried_again_with_one_query() {
+fn engine_ejected_by_gossip_is_retried_with_one_query() {
     let mut rig = Rig::new(settings(), 5);
     thin(&mut rig, 10);
     rig.pass(ms(1000));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn who_is_served_there_knows_better() {
+fn own_success_overrides_gossip() {
     let mut rig = Rig::new(settings(), 2);
     for _ in 0..10 {
         rig.step(&[hearsay(0, 8000), hearsay(1, 8000)]);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn on_hearsay_no_more_than_a_fifth_of_the_engines_is_left_alone() {
+fn gossip_ejects_at_most_a_fifth_of_the_engines() {
     for (engines, most) in [(1, 0), (2, 1), (5, 1), (10, 2), (20, 4)] {
         let mut rig = Rig::new(settings(), engines);
         rig.pass(ms(2000));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn no_hearsay_lasts_longer_than_a_quarantine_and_none_is_passed_on() {
+fn gossip_ejection_is_bounded_and_not_forwarded() {
     let mut rig = Rig::new(settings(), 10);
     rig.pass(ms(2000));
     rig.step(&[hearsay(3, 3_600_000), hearsay(77, 1000)]);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_part_of_the_pool_goes_by_those_that_live() {
+fn pool_share_follows_live_gateways() {
     let (all, half, two) = (out_with(20.0), out_with(10.0), out_with(2.0));
     assert!(all <= half && half < two, "{all} {half} {two}");
     assert_eq!(out_with(0.0), out_with(1.0), "at least this one lives");
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn the_budget_of_a_cold_engine_goes_by_those_that_were_told() {
+fn slow_start_budget_follows_configured_gateways() {
     // In a split each half takes the other for dead, and both send.
     let told = cold_with(None);
     assert!(told > 0);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_start_that_only_others_know_of_brings_the_cold_budget() {
+fn restart_known_from_gossip_starts_a_slow_start() {
     let went = |told: bool| {
         let mut rig = Rig::new(Settings { gateways: 1000, ..settings() }, 5);
         thin(&mut rig, 40);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn what_looks_slow_to_others_is_taken_last_until_this_gateway_has_looked_itself() {
+fn slowness_from_gossip_counts_until_own_observation() {
     let went = |events: &[Event], wait: u64| {
         let mut rig = Rig::new(settings(), 5);
         thin(&mut rig, 20);
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_told_estimate_moves_the_target_before_outcomes() {
+fn work_estimate_moves_the_target_before_outcomes() {
     let mut rig = Rig::new(settings(), 4);
     let (mut short, mut lengthy) = (rig.arrival(0), rig.arrival(0));
     short.work = Some(ms(10));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn late_queries_go_first_by_worth() {
+fn late_queries_go_first_by_value_density() {
     let mut settings = settings();
     // Both earn the same for their work, late or not, so neither is refused for being late.
     settings.classes.iter_mut().for_each(|c| c.late_weight = 1.0);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_bound_does_not_bind_without_pressure() {
+fn bound_does_not_apply_without_pressure() {
     let mut settings = settings();
     settings.gateways = 8;
     // 1.5 threads on 16 cores over 8 gateways: a bound of 3, passed freely while nothing is pressed.
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_full_engine_is_pressed_and_its_bound_binds() {
+fn bound_of_a_full_engine_applies() {
     let mut settings = settings();
     settings.gateways = 8;
     let mut rig = Rig::new(settings, 1);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_slow_class_cuts_once_a_period_and_not_below_the_floor() {
+fn slow_class_cuts_the_bound_once_a_period_down_to_the_floor() {
     let mut rig = Rig::new(settings(), 1);
     // 1.5 x 16 = 24 threads at the start; its own threads beyond that are pressure.
     assert_eq!(bound_under_pressure(&mut rig), 25);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn the_bound_rises_only_when_reached_and_under_aim() {
+fn bound_rises_only_when_reached_and_within_the_objective() {
     let mut settings = settings();
     settings.gateways = 8;
     let bound = |reached: bool, takes: u64| {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,7 +6,7 @@
 use reedwalk_scheduler::*;
 
 #[test]
-fn every_request_is_answered_before_its_client_gives_up() {
+fn every_request_is_answered_before_its_deadline() {
     let mut rig = Rig::new(settings(), 0);
     let (quick, long) = (rig.arrive(0), rig.arrive(1));
     rig.pass(ms(3005));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_keyed_request_repeats_only_in_its_group_and_while_remembered() {
+fn keyed_request_is_retried_only_in_its_group_and_window() {
     for (scope, cell) in [(KeyScope::Zone, 1), (KeyScope::Cell, 7)] {
         let mut settings = settings();
         settings.classes[0].idempotency = Idempotency::Keyed { scope, window: ms(1000) };
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_gone_engine() {
+fn nothing_new_goes_to_a_draining_or_removed_engine() {
     for state in [EngineState::Draining, EngineState::Removed] {
         let mut rig = Rig::new(settings(), 2);
         let entry = EngineEntry { state, ..EngineEntry::new(EngineId(0)) };
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_cold_engine_gets_a_part_of_a_warm_ones_work() {
+fn engine_in_slow_start_gets_a_part_of_the_work() {
     let mut rig = Rig::new(settings(), 2);
     rig.serve(0, 300, ms(10));
     let started = Some(Time(rig.now));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn an_engine_back_from_refused_connections_is_taken_for_cold() {
+fn engine_back_from_refused_connections_is_in_slow_start() {
     let mut rig = Rig::new(settings(), 2);
     rig.serve(0, 300, ms(10));
     let mut down = None;
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_bound_class_goes_nowhere_else_even_when_its_places_are_gone() {
+fn restricted_class_never_leaves_its_engines() {
     let mut settings = settings();
     settings.classes[0].zones = Some(vec![ZoneId(1)]);
     let mut rig = Rig::new(settings, 3);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn further_attempts_stay_within_their_budget() {
+fn retries_stay_within_their_budget() {
     let mut settings = settings();
     settings.rules.retry_budget = Some(RetryBudget { free: 2.0, ratio: 0.1, window: ms(1000) });
     settings.limits.max_attempts = 6;
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn attempts_are_never_two_at_once_and_no_more_than_allowed() {
+fn attempts_are_sequential_and_bounded() {
     let mut rig = Rig::new(settings(), 4);
     let id = rig.arrive(0);
     for attempt in 0..3 {
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn what_another_gateway_has_sent_binds_a_request_to_its_group_and_its_time() {
+fn attempt_of_another_gateway_binds_group_and_window() {
     for group in [0, 1] {
         let mut rig = two_zones();
         for _ in 0..8 {
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_request_whose_group_others_were_told_of_stays_there_though_nothing_ran() {
+fn request_stays_in_its_announced_group() {
     let mut rig = two_zones();
     let id = rig.arrive(0);
     let first = rig.sent(id)[0];
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -6,7 +6,7 @@
 use reedwalk_scheduler::*;
 
 #[test]
-fn each_field_that_makes_no_sense_is_named() {
+fn each_invalid_setting_is_named() {
     let field = |change: fn(&mut Settings)| {
         let mut settings = settings();
         change(&mut settings);
