--- a/gateway/src/broker/actions.rs
+++ b/gateway/src/broker/actions.rs
@@ -5,7 +5,6 @@
 use crate::message::{EngineTransport, Failure, OutlierKind, OutlierReport, Rejection, Response};
 use reedwalk_scheduler::{Action, AttemptEnded, AttemptNo, EngineId, Event, Outcome, RequestId};
 use slog::{info, warn};
-use std::time::Duration;
 use tokio::time::Instant;
 
 impl<T: EngineTransport> Broker<T> {
@@ -55,8 +54,8 @@
                 self.set_resource_grant(request, memory_mb, priority);
             }
             Action::WakeAfter(after) => self.wake_at = Some(now + after),
-            Action::EngineEjected { engine, unresponsive: silent, duration: lasts } => {
-                self.report_ejection(engine, silent, lasts, now)
+            Action::EngineEjected { engine, unresponsive, duration } => {
+                self.report_ejection(engine, unresponsive, now + duration);
             }
             Action::Log(line) => info!(self.log, "scheduler"; "message" => line),
             // Health checks are not allowed here, and the name server is polled in any case.
@@ -98,13 +97,13 @@
         }
     }
 
-    fn report_ejection(&mut self, engine: EngineId, silent: bool, lasts: Duration, now: Instant) {
-        let (reason, kind) = if silent {
+    fn report_ejection(&mut self, engine: EngineId, unresponsive: bool, until: Instant) {
+        let (reason, kind) = if unresponsive {
             ("unresponsive", OutlierKind::Unresponsive)
         } else {
             ("failing", OutlierKind::Failing)
         };
         info!(self.log, "engine ejected"; "reason" => reason, "engine" => engine.0);
-        self.report_outlier(OutlierReport { engine, kind, until: now + lasts });
+        self.report_outlier(OutlierReport { engine, kind, until });
     }
 }
--- a/gateway/src/broker/idempotency.rs
+++ b/gateway/src/broker/idempotency.rs
@@ -1,38 +1,30 @@
 //! Requests with an idempotency key, where gateways share the keys in a store. What a request may do is decided in
-//! `reedwalk-store`; this tracks how far each request is and asks the store for it. Nothing here waits: the store's
+//! `reedwalk-shared-store`; this tracks how far each request is and asks the store for it. Nothing here waits: the store's
 //! answers come through the broker's queue.
 
 use super::dedup_groups::DeduplicationGroups;
 use super::packed_rows::pack;
 use crate::message::{AttemptId, AttemptRequest, BrokerEvent, ClaimAnswer, Request, Rows};
 use crate::shared_store::client::{Key, SharedStoreClient};
-use crate::shared_store::unix_ms;
-use reedwalk_scheduler::{EngineEntry, Idempotency, KeyScope, RequestId};
+use crate::unix_clock::unix_ms;
+use reedwalk_scheduler::{Deduplication, EngineEntry, KeyScope, RequestId};
 use reedwalk_settings::Deployment;
 use reedwalk_shared_store::idempotency::{
     ClaimEnd, ClaimHolder, KeyedRequest, RequestEnd, RequestStep, Scope, SendDecision, SendRecord,
 };
 use std::collections::HashMap;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
 /// Bytes of a client's key at most that are shared; a request with a longer one goes by its class's own rules.
 const MAX_SHARED_KEY_BYTES: usize = 128;
 
-/// How the keys of a class are remembered by the engines.
-#[derive(Clone, Copy)]
-struct KeyedClass {
-    scope: KeyScope,
-    window: Duration,
-}
-
 struct TrackedRequest {
     state: KeyedRequest,
     key: Key,
     holder: ClaimHolder,
-    class: KeyedClass,
+    class: Deduplication,
     /// The store has been asked for a claim and has not answered yet.
     claim_pending: bool,
 }
@@ -51,7 +43,7 @@
 pub(super) struct IdempotencyTracker {
     store: Arc<SharedStoreClient>,
     /// For each class its name and, where its requests have keys, how those are remembered.
-    classes: Vec<(String, Option<KeyedClass>)>,
+    classes: Vec<(String, Option<Deduplication>)>,
     groups: DeduplicationGroups,
     open: HashMap<RequestId, TrackedRequest>,
     /// Requests that ended before the answer to their claim came.
@@ -69,10 +61,7 @@
         events: mpsc::Sender<BrokerEvent>,
     ) -> Self {
         let names = deployment.sockets.classes.iter().cloned();
-        let keyed = deployment.core.classes.iter().map(|class| match class.idempotency {
-            Idempotency::Keyed { scope, window: memory } => Some(KeyedClass { scope, window: memory }),
-            _ => None,
-        });
+        let keyed = deployment.core.classes.iter().map(|class| class.idempotency.deduplication());
         Self {
             store,
             classes: names.zip(keyed).collect(),
@@ -130,15 +119,15 @@
     ) -> Option<RequestStep> {
         if let Some(tracked) = self.ended_before_claim.remove(&id) {
             // Nothing was sent: the next request of this key finds what stood there before.
-            self.store.close(tracked.key, tracked.holder, tracked.class.window, ClaimEnd::Release);
+            self.store.end_claim(tracked.key, tracked.holder, tracked.class.window, ClaimEnd::Release);
         }
         let tracked = self.open.get_mut(&id)?;
         tracked.claim_pending = false;
         let trusted = answer.as_ref().is_some_and(|answer| answer.trusted);
         let claimed = answer.map(|answer| answer.claimed);
-        let (step, close) = tracked.state.on_claim_reply(claimed, trusted, unix_ms());
-        if let Some(close) = close {
-            self.store.close(tracked.key.clone(), tracked.holder, tracked.class.window, close);
+        let (step, end) = tracked.state.on_claim_reply(claimed, trusted, unix_ms());
+        if let Some(end) = end {
+            self.store.end_claim(tracked.key.clone(), tracked.holder, tracked.class.window, end);
         }
         Some(step)
     }
@@ -210,12 +199,12 @@
     /// The request has ended: served with these rows, or not served.
     pub(super) fn on_request_ended(&mut self, id: RequestId, rows: Option<&Rows>) {
         let Some(mut tracked) = self.open.remove(&id) else { return };
-        let ending = match rows {
+        let end = match rows {
             Some(rows) => RequestEnd::Served(pack(rows)),
             None => RequestEnd::Unserved,
         };
-        if let Some(close) = tracked.state.on_request_end(ending) {
-            self.store.close(tracked.key, tracked.holder, tracked.class.window, close);
+        if let Some(end) = tracked.state.on_request_end(end) {
+            self.store.end_claim(tracked.key, tracked.holder, tracked.class.window, end);
         } else if tracked.claim_pending {
             self.ended_before_claim.insert(id, tracked);
         } else {
--- a/gateway/src/broker/mod.rs
+++ b/gateway/src/broker/mod.rs
@@ -28,17 +28,18 @@
 use crate::quotas::QuotaManager;
 use crate::shared_store::client::SharedStoreClient;
 use crate::shutdown::Phase;
+use crate::unix_clock::unix_micros;
 use attempt_table::AttemptTable;
 use counters::PeriodicReport;
 use idempotency::IdempotencyTracker;
 use recovery_guard::RecoveryGuard;
 use reedwalk_operations::CapacityShare;
-use reedwalk_scheduler::{EndpointScope, EngineState, Event, Idempotency, Scheduler, Time};
+use reedwalk_scheduler::{EndpointScope, EngineState, Event, Scheduler, Time};
 use reedwalk_settings::Deployment;
 use request_table::RequestTable;
 use slog::Logger;
 use std::sync::Arc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 use timers::Timers;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
@@ -93,20 +94,13 @@
 
 impl RequestLimits {
     fn new(deployment: &Deployment) -> Self {
-        let dedup_window = |effect| match effect {
-            Idempotency::Keyed { window: memory, .. } => Some(memory),
-            _ => None,
-        };
+        let classes = deployment.core.classes.iter();
+        let deduplication = classes.map(|class| class.idempotency.deduplication());
         let limits = &deployment.core.limits;
         Self {
             max_attempts: limits.max_attempts,
             retry_after: limits.max_retry_after,
-            dedup_windows: deployment
-                .core
-                .classes
-                .iter()
-                .map(|class| dedup_window(class.idempotency))
-                .collect(),
+            dedup_windows: deduplication.map(|keys| keys.map(|keys| keys.window)).collect(),
             allows_hedging: deployment.sockets.second_copies,
         }
     }
@@ -120,8 +114,7 @@
 
 impl SchedulerClock {
     fn start(now: Instant) -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { started_us: unix.as_micros() as u64, started_at: now }
+        Self { started_us: unix_micros(), started_at: now }
     }
 
     fn time(&self, now: Instant) -> Time {
@@ -291,8 +284,8 @@
                 self.on_send_recorded(attempt, sent, recorded, now);
             }
             BrokerEvent::EjectedByGossip { engine, until } => {
-                let lasts = until.saturating_duration_since(now);
-                self.pending.push(Event::EjectedByGossip { engine, duration: lasts });
+                let duration = until.saturating_duration_since(now);
+                self.pending.push(Event::EjectedByGossip { engine, duration });
             }
             BrokerEvent::EngineRestarted { engine, started } => {
                 self.pending.push(Event::EngineRestarted { engine, started });
--- a/gateway/src/broker/recovery_guard.rs
+++ b/gateway/src/broker/recovery_guard.rs
@@ -6,12 +6,12 @@
 use crate::health::Health;
 use crate::message::{PersistedEvent, Request};
 use crate::metrics::{Metric, Metrics};
-use crate::shared_store::unix_ms;
+use crate::unix_clock::unix_ms;
 use reedwalk_recovery::Millis;
 use reedwalk_recovery::idempotency_keys::{KeyRules, KeyVerdict, KnownKeys};
 use reedwalk_recovery::snapshot::KeyRecord;
 use reedwalk_recovery::startup_phases::{AdmissionDecision, StartupPhase, StartupPhases, StartupSetup};
-use reedwalk_scheduler::{EngineEntry, EngineId, Idempotency, KeyScope, Scheduler};
+use reedwalk_scheduler::{Deduplication, EngineEntry, EngineId, KeyScope, Scheduler};
 use reedwalk_settings::Deployment;
 use reedwalk_shared_store::idempotency::EarlierAttempt;
 use slog::{Logger, info};
@@ -49,13 +49,6 @@
     Reject(Duration),
 }
 
-/// How the idempotency keys of a class are treated.
-#[derive(Clone, Copy)]
-struct KeyedClass {
-    scope: KeyScope,
-    rules: KeyRules,
-}
-
 #[derive(Default)]
 struct Counters {
     rejected: u64,
@@ -70,7 +63,7 @@
     metrics: Arc<Metrics>,
     phases: StartupPhases,
     keys: KnownKeys,
-    classes: Vec<Option<KeyedClass>>,
+    classes: Vec<Option<Deduplication>>,
     groups: DeduplicationGroups,
     next_snapshot: Instant,
     next_metrics: Instant,
@@ -91,8 +84,8 @@
         log: Logger,
     ) -> Self {
         let classes: Vec<_> =
-            deployment.core.classes.iter().map(|class| keyed_class(class.idempotency)).collect();
-        let window = classes.iter().flatten().map(|class| class.rules.window).max().unwrap_or(0);
+            deployment.core.classes.iter().map(|class| class.idempotency.deduplication()).collect();
+        let window = classes.iter().flatten().map(|class| key_rules(*class).window).max().unwrap_or(0);
         let (started_ms, now) = (unix_ms(), Instant::now());
         let phases = StartupPhases::new(StartupSetup {
             started: started_ms,
@@ -153,7 +146,7 @@
             return RecoveryVerdict::Admit(None);
         };
         let key = reedwalk_settings::key(idempotency_key).0;
-        match self.keys.on_request(key, class.rules, request.is_retry, &self.phases, now_ms) {
+        match self.keys.on_request(key, key_rules(class), request.is_retry, &self.phases, now_ms) {
             KeyVerdict::First => RecoveryVerdict::Admit(None),
             KeyVerdict::Repeat { group, age } => {
                 self.counters.bound += 1;
@@ -230,12 +223,6 @@
     }
 }
 
-fn keyed_class(effect: Idempotency) -> Option<KeyedClass> {
-    match effect {
-        Idempotency::Keyed { scope, window: memory } => {
-            let rules = KeyRules { one_group: scope == KeyScope::All, window: memory.as_millis() as Millis };
-            Some(KeyedClass { scope, rules })
-        }
-        _ => None,
-    }
+fn key_rules(class: Deduplication) -> KeyRules {
+    KeyRules { one_group: class.scope == KeyScope::All, window: class.window.as_millis() as Millis }
 }
--- a/gateway/src/console/mod.rs
+++ b/gateway/src/console/mod.rs
@@ -3,13 +3,14 @@
 
 pub mod line;
 
+use crate::accept::pause_after_error;
 use crate::health::Health;
 use crate::metrics::Metrics;
 use crate::registry::EndpointRegistry;
 use bytes::BytesMut;
 use line::{BadLine, Command};
 use reedwalk_operations::Override;
-use slog::{Logger, info, warn};
+use slog::{Logger, info};
 use std::collections::VecDeque;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -25,8 +26,6 @@
 pub const MAX_CONNECTIONS: usize = 16;
 /// A connection is closed this long after it was accepted, whatever its state.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause after a failed accept, as when the process is out of descriptors.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// How long a connection that has its answer may take to close.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 /// Bytes of an answer that [`call`] reads at most.
@@ -142,10 +141,7 @@
                         console.connections().remove(id);
                     });
                 }
-                Err(error) => {
-                    warn!(self.log, "accept failed"; "error" => %error);
-                    sleep_until(Instant::now() + ACCEPT_RETRY_DELAY).await;
-                }
+                Err(error) => pause_after_error(&error, &self.log).await,
             }
             // A connection that was evicted closes before the next one is accepted.
             tokio::task::yield_now().await;
--- a/gateway/src/engine/flight/call.rs
+++ b/gateway/src/engine/flight/call.rs
@@ -62,6 +62,24 @@
     }
 }
 
+/// The record batches of a result so far, and the bytes that they hold in memory.
+#[derive(Default)]
+struct ResultBatches {
+    batches: Vec<RecordBatch>,
+    bytes: usize,
+}
+
+impl ResultBatches {
+    fn push(&mut self, batch: RecordBatch) -> Result<(), CallError> {
+        self.bytes += batch.get_array_memory_size();
+        if self.bytes > MAX_BATCH_BYTES {
+            return Err(CallError::UnusableAnswer);
+        }
+        self.batches.push(batch);
+        Ok(())
+    }
+}
+
 /// What a served attempt brought: the metadata of its last call, and the rows.
 struct Answer {
     metadata: MetadataMap,
@@ -160,12 +178,12 @@
         self.check_send()?;
         let info = self.client.get_flight_info(request).await.map_err(CallError::before_answer)?.into_inner();
         self.read_activity.record_read();
-        let (mut batches, mut metadata) = (Vec::new(), MetadataMap::new());
+        let (mut result, mut metadata) = (ResultBatches::default(), MetadataMap::new());
         let tickets = info.endpoint.into_iter().filter_map(|endpoint| endpoint.ticket);
         for (index, ticket) in tickets.enumerate() {
-            metadata = self.fetch(ticket, index == 0, &mut batches).await?;
+            metadata = self.fetch(ticket, index == 0, &mut result).await?;
         }
-        Ok(Answer { metadata, rows: read_rows(batches)? })
+        Ok(Answer { metadata, rows: read_rows(result.batches)? })
     }
 
     /// DoGet of one endpoint: appends its batches and returns its metadata. The calls behind the first belong to a query
@@ -174,7 +192,7 @@
         &mut self,
         ticket: Ticket,
         is_first: bool,
-        batches: &mut Vec<RecordBatch>,
+        result: &mut ResultBatches,
     ) -> Result<MetadataMap, CallError> {
         let request = self.request(ticket);
         if is_first {
@@ -185,15 +203,10 @@
         self.read_activity.record_read();
         let body = body.map_err(FlightError::from);
         let mut stream = FlightRecordBatchStream::new_from_flight_data(body);
-        let mut size: usize = batches.iter().map(RecordBatch::get_array_memory_size).sum();
         while let Some(batch) = stream.next().await {
             let batch = batch.map_err(CallError::in_stream)?;
             self.read_activity.record_read();
-            size += batch.get_array_memory_size();
-            if size > MAX_BATCH_BYTES {
-                return Err(CallError::UnusableAnswer);
-            }
-            batches.push(batch);
+            result.push(batch)?;
         }
         Ok(metadata)
     }
--- a/gateway/src/engine/flight/response.rs
+++ b/gateway/src/engine/flight/response.rs
@@ -9,9 +9,9 @@
 use arrow_schema::DataType;
 use bytes::Bytes;
 use reedwalk_scheduler::{LoadReport, Outcome, ResourceUsage};
+use reedwalk_settings::duration_from_ms;
 use std::error::Error;
 use std::sync::Arc;
-use std::time::Duration;
 use tonic::metadata::MetadataMap;
 use tonic::{Code, Status};
 
@@ -49,7 +49,7 @@
 pub(super) fn resource_usage(metadata: &MetadataMap) -> Option<ResourceUsage> {
     let number = |name| meta::number(metadata, name).and_then(Result::ok);
     number(meta::WORK).map(|ms| ResourceUsage {
-        work: Duration::from_micros((ms * 1000.0).min(1e15) as u64),
+        work: duration_from_ms(ms),
         memory_mb: number(meta::MEMORY).unwrap_or(0.0),
     })
 }
--- a/gateway/src/engine/resp/wire.rs
+++ b/gateway/src/engine/resp/wire.rs
@@ -3,8 +3,8 @@
 use crate::message::{AttemptRequest, Rows};
 use bytes::{Bytes, BytesMut};
 use reedwalk_scheduler::{LoadReport, ProgressReport, ResourceUsage};
+use reedwalk_settings::duration_from_ms;
 use std::fmt;
-use std::time::Duration;
 use tokio::time::Instant;
 
 /// Bulk strings in an array at most.
@@ -183,7 +183,7 @@
     };
     let load = fields.find("rep").map(crate::engine::read_load);
     let usage = fields.number("elapsed").filter(|ms| *ms >= 0.0).map(|ms| ResourceUsage {
-        work: Duration::from_micros((ms * 1000.0).min(1e15) as u64),
+        work: duration_from_ms(ms),
         memory_mb: fields.number("rss").unwrap_or(0.0).max(0.0),
     });
     Ok(Reply {
--- a/gateway/src/front/flight/mod.rs
+++ b/gateway/src/front/flight/mod.rs
@@ -7,8 +7,8 @@
 mod service;
 mod ticket;
 
+use crate::accept::{accepted_already, pause_after_error};
 use crate::broker::RequestQueue;
-use crate::front::accepted_already;
 use crate::multicore::Multicore;
 use crate::operator::FlightFront;
 use crate::shutdown::{Phase, closing};
@@ -18,21 +18,18 @@
 use hyper_util::service::TowerToHyperService;
 use reedwalk_settings::Deployment;
 pub use service::Service;
-use slog::{Logger, debug, warn};
+use slog::{Logger, debug};
 use std::pin::pin;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
-use tokio::time::{Instant, sleep_until};
 
 /// Calls that one connection carries at a time.
 const MAX_STREAMS: u32 = 64;
 /// How often a quiet connection is checked for whether its peer is still there.
 const PING_INTERVAL: Duration = Duration::from_secs(20);
-/// Pause after a failed accept, as when the process is out of descriptors; what is open goes on.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts connections until the phase says to close. Each connection holds `open_connections` until it has ended.
 pub async fn serve(
@@ -64,8 +61,7 @@
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    warn!(log, "accept failed"; "error" => %error);
-                    sleep_until(Instant::now() + ACCEPT_RETRY_DELAY).await;
+                    pause_after_error(&error, &log).await;
                     continue;
                 }
             },
--- a/gateway/src/front/flight/service.rs
+++ b/gateway/src/front/flight/service.rs
@@ -6,7 +6,7 @@
 use crate::broker::RequestQueue;
 use crate::front::flight::metadata as meta;
 use crate::front::sql::table_group;
-use crate::front::{MAX_MEMORY_MB, MAX_WORK_MS};
+use crate::front::{MAX_MEMORY_MB, MAX_WORK_MS, is_trace_id};
 use crate::message::{self, Rejection, Rows};
 use crate::metrics::RequestOutcome;
 use arrow_flight::encode::FlightDataEncoderBuilder;
@@ -20,8 +20,8 @@
 use bytes::Bytes;
 use futures::{TryStreamExt, stream};
 use prost::Message;
-use reedwalk_scheduler::{ClassId, Idempotency};
-use reedwalk_settings::Deployment;
+use reedwalk_scheduler::ClassId;
+use reedwalk_settings::{Deployment, duration_from_ms};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -61,22 +61,21 @@
             key,
             is_retry: meta::text(metadata, meta::RETRY) == Some("1"),
             team: meta::text(metadata, meta::TEAM).map(Arc::from),
-            work: work_ms.map(|ms| Duration::from_micros((ms * 1000.0).min(1e15) as u64)),
+            work: work_ms.map(duration_from_ms),
             memory_mb: estimate(metadata, meta::MEMORY, MAX_MEMORY_MB)?,
         })
     }
 
     fn class(&self, metadata: &MetadataMap) -> Result<ClassId, Status> {
         let name = meta::text(metadata, meta::CLASS).ok_or_else(|| bad_field(meta::CLASS))?;
-        let index = self.deployment.sockets.classes.iter().position(|class| class == name);
-        Ok(ClassId(index.ok_or_else(|| bad_field(meta::CLASS))?))
+        self.deployment.sockets.class_id(name).ok_or_else(|| bad_field(meta::CLASS))
     }
 
     /// The idempotency key, which a class with keyed retries requires.
     fn idempotency_key(&self, metadata: &MetadataMap, class: ClassId) -> Result<Option<String>, Status> {
         let key = meta::text(metadata, meta::KEY);
         let class = &self.deployment.core.classes[class.0];
-        let is_required = matches!(class.idempotency, Idempotency::Keyed { .. });
+        let is_required = class.idempotency.deduplication().is_some();
         if key.map_or(is_required, |key| !is_key(key)) {
             return Err(bad_field(meta::KEY));
         }
@@ -138,10 +137,6 @@
     }
 }
 
-fn is_trace_id(text: &str) -> bool {
-    text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit())
-}
-
 fn is_key(text: &str) -> bool {
     let is_plain = |byte: u8| byte.is_ascii_graphic() && byte != b',';
     (1..=MAX_KEY_BYTES).contains(&text.len()) && text.bytes().all(is_plain)
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -10,14 +10,10 @@
 pub mod mysql;
 pub mod sql;
 
-use tokio::net::{TcpListener, TcpStream};
+/// Hexadecimal digits of a trace id.
+const TRACE_ID_DIGITS: usize = 16;
 
-/// The connections that the system has accepted for a listener that closes; dropped with the listener they would be reset.
-fn accepted_already(listener: TcpListener) -> impl Iterator<Item = TcpStream> {
-    let listener = listener.into_std().ok();
-    let next = move || Some(listener.as_ref()?.accept().ok()?.0);
-    std::iter::from_fn(next).filter_map(|stream| {
-        stream.set_nonblocking(true).ok()?;
-        TcpStream::from_std(stream).ok()
-    })
+/// Whether a text is a request's id, as both protocols have it.
+fn is_trace_id(text: &str) -> bool {
+    text.len() == TRACE_ID_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
--- a/gateway/src/front/mysql/fields.rs
+++ b/gateway/src/front/mysql/fields.rs
@@ -1,7 +1,7 @@
 //! The fields of a request, in a comment before its statement. Pure functions.
 
 use crate::front::sql::comment_length;
-use crate::front::{MAX_MEMORY_MB, MAX_WORK_MS};
+use crate::front::{MAX_MEMORY_MB, MAX_WORK_MS, is_trace_id};
 use bytes::Bytes;
 use std::fmt;
 
@@ -9,8 +9,6 @@
 const MAX_FIELD_BYTES: usize = 128;
 /// The longest timeout that is taken, in milliseconds: a day.
 const MAX_TIMEOUT_MS: u64 = 86_400_000;
-/// Hexadecimal digits of a trace id.
-const TRACE_ID_DIGITS: usize = 16;
 
 /// The fields of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -87,7 +85,7 @@
     if fields.trace.is_empty() {
         return Err(BadFields::Absent("trace"));
     }
-    if fields.trace.len() != TRACE_ID_DIGITS || !fields.trace.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+    if !is_trace_id(&fields.trace) {
         return Err(BadFields::Unsound("trace"));
     }
     fields.timeout_ms = timeout_ms.ok_or(BadFields::Absent("patience"))?;
--- a/gateway/src/front/mysql/mod.rs
+++ b/gateway/src/front/mysql/mod.rs
@@ -9,8 +9,8 @@
 mod session;
 mod session_slots;
 
+use crate::accept::{accepted_already, pause_after_error};
 use crate::broker::RequestQueue;
-use crate::front::accepted_already;
 use crate::limits::Limits;
 use crate::multicore::Multicore;
 use crate::quotas::QuotaManager;
@@ -22,12 +22,12 @@
 use running_queries::RunningQueries;
 use session::Session;
 use session_slots::{SessionSlots, SlotCounts};
-use slog::{Logger, info, warn};
+use slog::{Logger, info};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc, watch};
-use tokio::time::{Instant, sleep_until};
+use tokio::time::Instant;
 
 /// Share of the descriptors that client sessions may hold; clients keep to a third, engines take a share.
 const SESSIONS_SHARE: f64 = 0.6;
@@ -37,8 +37,6 @@
 const REFUSED_SHARE: f64 = 0.01;
 /// How long one of them may take.
 const REFUSED_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause after a failed accept, as when the process is out of descriptors; what is open goes on.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// How often refused and evicted sessions are logged at most.
 const SLOT_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -127,8 +125,7 @@
                 accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => stream,
                     Err(error) => {
-                        warn!(self.log, "accept failed"; "error" => %error);
-                        sleep_until(Instant::now() + ACCEPT_RETRY_DELAY).await;
+                        pause_after_error(&error, &self.log).await;
                         continue;
                     }
                 },
--- a/gateway/src/front/mysql/session.rs
+++ b/gateway/src/front/mysql/session.rs
@@ -12,7 +12,7 @@
 use crate::metrics::RequestOutcome;
 use crate::shutdown::{Phase, closed_to};
 use bytes::{Bytes, BytesMut};
-use reedwalk_scheduler::{ClassId, Idempotency};
+use reedwalk_settings::duration_from_ms;
 use socket2::SockRef;
 use std::mem::MaybeUninit;
 use std::sync::Arc;
@@ -333,24 +333,25 @@
     fn read_request(&self, text: &Bytes, now: Instant) -> Result<Request, BadFields> {
         let (fields, statement) = fields::take_fields(text)?;
         let deployment = &self.front.deployment;
-        let index = deployment.sockets.classes.iter().position(|class| *class == fields.class);
-        let Some(index) = index else { return Err(BadFields::NoSuchClass(fields.class)) };
-        let class = &deployment.core.classes[index];
-        let needs_key = matches!(class.idempotency, Idempotency::Keyed { .. });
+        let Some(class_id) = deployment.sockets.class_id(&fields.class) else {
+            return Err(BadFields::NoSuchClass(fields.class));
+        };
+        let class = &deployment.core.classes[class_id.0];
+        let needs_key = class.idempotency.deduplication().is_some();
         if needs_key && fields.idempotency_key.is_none() {
             // Without its key a repeat would have a second effect.
-            self.front.request_queue.count_rejected(ClassId(index), RequestOutcome::Failed);
+            self.front.request_queue.count_rejected(class_id, RequestOutcome::Failed);
             return Err(BadFields::Absent("nonce"));
         }
         let timeout = Duration::from_millis(fields.timeout_ms);
         Ok(Request {
             trace_id: fields.trace.into(),
-            class: ClassId(index),
+            class: class_id,
             team: Some(self.team.clone()),
             deadline: now + timeout.min(class.deadline),
             is_retry: fields.is_retry,
             idempotency_key: fields.idempotency_key.map(Bytes::from),
-            work: fields.work_ms.map(|ms| Duration::from_micros((ms * 1000.0).min(1e15) as u64)),
+            work: fields.work_ms.map(duration_from_ms),
             memory_mb: fields.memory_mb,
             table_group: sql::table_group(&statement),
             update: class.is_load,
--- a/gateway/src/gossip/task.rs
+++ b/gateway/src/gossip/task.rs
@@ -6,7 +6,7 @@
 use crate::message::{BrokerEvent, OutlierKind, OutlierReport};
 use crate::metrics::{Metric, Metrics};
 use crate::registry::EndpointRegistry;
-use crate::shared_store::unix_ms;
+use crate::unix_clock::unix_ms;
 use reedwalk_gossip::{
     EngineKey, FactKind, GossipAction, GossipEjection, GossipNode, MAX_DATAGRAM_BYTES, Millis, NodeSetup,
     OwnObservation, PeerId, SharedObservation,
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -2,6 +2,7 @@
 //! the types that it exchanges with the other modules: the fronts for clients, the transports to engines, the discovery of
 //! endpoints, the modules that own other state, and `serve`, which starts and ends the process. ARCHITECTURE.md has the map.
 
+pub mod accept;
 pub mod broker;
 pub mod cli;
 pub mod config;
@@ -25,3 +26,4 @@
 pub mod serve;
 pub mod shared_store;
 pub mod shutdown;
+pub mod unix_clock;
--- a/gateway/src/message/event.rs
+++ b/gateway/src/message/event.rs
@@ -68,7 +68,7 @@
         /// Until when.
         until: Instant,
     },
-    /// Several other gateways know of a restart of an engine that the endpoint list has not told yet.
+    /// Several other gateways know of a restart of an engine that the endpoint list does not have yet.
     EngineRestarted {
         /// Which engine.
         engine: EngineId,
--- a/gateway/src/persistence/inspect.rs
+++ b/gateway/src/persistence/inspect.rs
@@ -1,7 +1,7 @@
 //! The sub-commands `reedwalk state show`, `verify` and `forget`.
 
 use super::folder::Folder;
-use crate::shared_store::unix_ms;
+use crate::unix_clock::unix_ms;
 use reedwalk_recovery::snapshot_codec::{self, MAX_SNAPSHOT_BYTES, SnapshotError, StoredSnapshot};
 use reedwalk_recovery::snapshot_store::SnapshotFiles;
 use reedwalk_recovery::snapshot_store::{LOG_PREFIX, SNAPSHOT_PREFIX, TEMPORARY_FILE};
@@ -118,7 +118,7 @@
             let _ = writeln!(text, "  engine {}: {slowdown}", engine.id);
         }
     }
-    let log_name = name.replace("record", "log");
+    let log_name = name.replacen(SNAPSHOT_PREFIX, LOG_PREFIX, 1);
     let bytes = folder.read(&log_name, MAX_LOG_BYTES).unwrap_or_default();
     let Replay { entries, whole_bytes: readable } = write_ahead_log::replay(owner, stored.generation, &bytes);
     let (keys, logged, torn) = (snapshot.keys.len(), entries.len(), bytes.len() - readable);
--- a/gateway/src/persistence/restore.rs
+++ b/gateway/src/persistence/restore.rs
@@ -4,13 +4,13 @@
 use crate::config::Config;
 use crate::message::BrokerEvent;
 use crate::registry::EndpointRegistry;
-use crate::shared_store::unix_ms;
+use crate::unix_clock::unix_ms;
 use reedwalk_recovery::Millis;
 use reedwalk_recovery::snapshot::{EngineRecord, Snapshot};
 use reedwalk_recovery::snapshot_codec::SnapshotOwner;
 use reedwalk_recovery::snapshot_store::{RecoveredState, recover};
 use reedwalk_recovery::trust::{Confidence, Contradictions, Fact, Source, confidence};
-use reedwalk_scheduler::{ClassLatencyStats, EngineId, Idempotency, SampledMean, Time};
+use reedwalk_scheduler::{ClassLatencyStats, Deduplication, EngineId, SampledMean, Time};
 use slog::{Logger, info, warn};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -30,9 +30,9 @@
     let host = HOST_FILES.map(|file| std::fs::read(file).unwrap_or_default());
     // Only those settings that a snapshot rests on: an upgrade that brings more of them invalidates nothing.
     let classes = config.deployment.sockets.classes.iter().zip(&config.deployment.core.classes);
-    let classes = classes.map(|(name, class)| match class.idempotency {
-        Idempotency::Keyed { scope, window } => format!("{name} {scope:?} {window:?}"),
-        _ => name.clone(),
+    let classes = classes.map(|(name, class)| match class.idempotency.deduplication() {
+        Some(Deduplication { scope, window }) => format!("{name} {scope:?} {window:?}"),
+        None => name.clone(),
     });
     SnapshotOwner { host: digest(host), gateway: digest([config.name.as_bytes()]), settings: digest(classes) }
 }
--- a/gateway/src/persistence/writer.rs
+++ b/gateway/src/persistence/writer.rs
@@ -6,7 +6,7 @@
 use crate::message::PersistedEvent;
 use crate::metrics::{Metric, Metrics};
 use crate::registry::EndpointRegistry;
-use crate::shared_store::unix_ms;
+use crate::unix_clock::unix_ms;
 use reedwalk_recovery::snapshot::{ClassRecord, EngineRecord, KeyRecord, Snapshot};
 use reedwalk_recovery::snapshot_codec::SnapshotOwner;
 use reedwalk_recovery::snapshot_store::{SnapshotStore, SnapshotStoreError};
--- a/gateway/src/quotas.rs
+++ b/gateway/src/quotas.rs
@@ -3,7 +3,7 @@
 
 use crate::message::{Charge, QuotaDecision, QuotaRequest, Rejection};
 use crate::shared_store::client::SharedStoreClient;
-use crate::shared_store::unix_ms;
+use crate::unix_clock::unix_ms;
 use reedwalk_scheduler::ClassId;
 use reedwalk_shared_store::quota_lease::{EVEN_SHARE, QuotaLease, STORE_DOWN_SHARE, SpendResult};
 use std::collections::HashMap;
--- a/gateway/src/registry/mod.rs
+++ b/gateway/src/registry/mod.rs
@@ -9,13 +9,14 @@
 use crate::drain_guard::DrainGuards;
 use crate::message::{Endpoint, EndpointMailbox, EndpointUpdate};
 use crate::metrics::Metrics;
+use crate::unix_clock::unix_micros;
 use override_file::{OverrideFile, OverrideFileError};
 use reedwalk_operations::{Override, Overrides, TooManyOverrides};
 use reedwalk_scheduler::{EngineEntry, EngineId, EngineState, Time};
 use slog::{Logger, info, warn};
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
 /// How often the override file is checked for what the other process was told: that binds this one a second after the
@@ -251,7 +252,3 @@
         }
     }
 }
-
-fn unix_micros() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
-}
--- a/gateway/src/serve/subsystems.rs
+++ b/gateway/src/serve/subsystems.rs
@@ -22,9 +22,9 @@
 use crate::registry::EndpointRegistry;
 use crate::registry::override_file::OverrideFile;
 use crate::shared_store::client::SharedStoreClient;
-use crate::shared_store::unix_ms;
+use crate::unix_clock::unix_ms;
 use reedwalk_recovery::snapshot_codec::SnapshotOwner;
-use reedwalk_scheduler::{Idempotency, Scheduler};
+use reedwalk_scheduler::Scheduler;
 use reedwalk_settings::Deployment;
 use slog::{error, info};
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -56,11 +56,9 @@
     /// The client of the shared store, if the operator's file names one.
     pub(super) fn connect_shared_store(&self) -> Result<Option<Arc<SharedStoreClient>>, ServeError> {
         let Store::Redis(url, options) = &self.operator.store else { return Ok(None) };
-        let windows = self.deployment.core.classes.iter().filter_map(|class| match class.idempotency {
-            Idempotency::Keyed { window, .. } => Some(window),
-            _ => None,
-        });
-        let longest_window = windows.max().unwrap_or_default();
+        let classes = self.deployment.core.classes.iter();
+        let deduplication = classes.filter_map(|class| class.idempotency.deduplication());
+        let longest_window = deduplication.map(|keys| keys.window).max().unwrap_or_default();
         // Drawn by the system for each process.
         let process = RandomState::new().build_hasher().finish();
         let log = self.log_of("shared_store");
@@ -140,14 +138,11 @@
             let what = format!("'state': {}: {error}", options.folder.display());
             ServeError::Operator(OperatorFileError { line: options.line, what })
         })?;
-        let memory = persistence::load_snapshot(&folder, owner, &log).snapshot;
+        let snapshot = persistence::load_snapshot(&folder, owner, &log).snapshot;
         let now = unix_ms();
-        scheduler.restore_class_stats(&persistence::restored_class_stats(
-            &memory,
-            &self.sockets.classes,
-            now,
-        ));
-        for event in persistence::restored_observations(&memory, registry, now) {
+        let class_stats = persistence::restored_class_stats(&snapshot, &self.sockets.classes, now);
+        scheduler.restore_class_stats(&class_stats);
+        for event in persistence::restored_observations(&snapshot, registry, now) {
             // They reach the broker after the endpoint list, and before anything that comes from outside.
             let _ = self.events.try_send(event);
         }
@@ -163,7 +158,7 @@
         thread.start(received).map_err(|error| ServeError::Io("state", error))?;
         let has_name_server = self.config.names.is_some();
         let health = self.health.clone();
-        Ok(Some(RecoverySetup { persisted_events, keys: memory.keys, has_name_server, health }))
+        Ok(Some(RecoverySetup { persisted_events, keys: snapshot.keys, has_name_server, health }))
     }
 
     pub(super) fn start_console(
--- a/gateway/src/shared_store/background.rs
+++ b/gateway/src/shared_store/background.rs
@@ -96,12 +96,12 @@
     fn invocation(&self, write: &PendingWrite) -> ScriptInvocation<'_> {
         match write {
             PendingWrite::Renew { key, holder } => self.scripts.renew(key, *holder),
-            PendingWrite::ClaimEnd { key, holder, window, close } => {
-                let value = match close {
+            PendingWrite::EndClaim { key, holder, window, end } => {
+                let value = match end {
                     ClaimEnd::Done(answer) => codec::encode(answer),
                     _ => None,
                 };
-                let (stage, ttl) = match close {
+                let (stage, ttl) = match end {
                     // An answer too large to be stored: a retry goes where the request went first.
                     ClaimEnd::Done(_) if value.is_none() => (None, Duration::ZERO),
                     ClaimEnd::Done(_) => (Some(Stage::Done), *window * 2),
--- a/gateway/src/shared_store/client.rs
+++ b/gateway/src/shared_store/client.rs
@@ -1,6 +1,6 @@
 //! The client of the shared store. What a request waits for is asked with an instant by which the answer must be there;
 //! all else goes through a bounded write-behind queue, off the path of requests (`background.rs`). What the store's
-//! answers are worth is decided in `reedwalk-store`.
+//! answers are worth is decided in `reedwalk-shared-store`.
 
 use super::connection::Connection;
 use super::options::SharedStoreOptions;
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(super) enum PendingWrite {
     /// The end of a request.
-    ClaimEnd { key: Key, holder: ClaimHolder, window: Duration, close: ClaimEnd },
+    EndClaim { key: Key, holder: ClaimHolder, window: Duration, end: ClaimEnd },
     /// The renewal of a lease.
     Renew { key: Key, holder: ClaimHolder },
 }
@@ -223,10 +223,10 @@
     }
 
     /// Queues the end of a request to be written.
-    pub fn close(&self, key: Key, holder: ClaimHolder, window: Duration, close: ClaimEnd) {
+    pub fn end_claim(&self, key: Key, holder: ClaimHolder, window: Duration, end: ClaimEnd) {
         let mut state = self.state();
         state.held.remove(&holder);
-        state.outbox.push(PendingWrite::ClaimEnd { key, holder, window, close });
+        state.outbox.push(PendingWrite::EndClaim { key, holder, window, end });
         drop(state);
         self.written.notify_one();
     }
--- a/gateway/tests/golden.rs
+++ b/gateway/tests/golden.rs
@@ -70,7 +70,7 @@
 
     let budget = client.quota_key("acquiring", 60_000, 29_410_205);
     assert_eq!(client.lease_quota(&budget, 25, 600, u64::MAX >> 12, by()).await, Some(25));
-    client.close(key, holder, WINDOW, ClaimEnd::Done(b"an answer, packed".to_vec()));
+    client.end_claim(key, holder, WINDOW, ClaimEnd::Done(b"an answer, packed".to_vec()));
     let writer = tokio::spawn(client.run());
     let done = format!("h= s=d v={DONE}");
     until("the end is written", || contents(&redis).get(at) == Some(&done)).await;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -8,9 +8,17 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A duration from microseconds.
-fn duration(us: f64) -> Duration {
-    Duration::from_micros(us.clamp(0.0, 1e15) as u64)
+/// Longest duration that is believed, in microseconds.
+const MAX_DURATION_US: f64 = 1e15;
+
+/// A duration from microseconds; negative ones are 0.
+pub fn duration_from_us(us: f64) -> Duration {
+    Duration::from_micros(us.clamp(0.0, MAX_DURATION_US) as u64)
+}
+
+/// A duration from milliseconds; negative ones are 0.
+pub fn duration_from_ms(ms: f64) -> Duration {
+    duration_from_us(ms * 1000.0)
 }
 
 /// A number of zero or more; NaN, infinite and negative numbers are read as 0.
@@ -168,6 +176,13 @@
     pub second_copies: bool,
 }
 
+impl Sockets {
+    /// The class of this name.
+    pub fn class_id(&self, name: &str) -> Option<ClassId> {
+        self.classes.iter().position(|class| class == name).map(ClassId)
+    }
+}
+
 /// The settings object, read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
@@ -204,7 +219,7 @@
 
 fn sockets(wire: SettingsObject) -> Sockets {
     let limits = wire.limits;
-    let duration_or = |us: f64, default: Duration| if us > 0.0 { duration(us) } else { default };
+    let duration_or = |us: f64, default: Duration| if us > 0.0 { duration_from_us(us) } else { default };
     Sockets {
         classes: wire.request_classes.into_iter().map(|c| c.name).collect(),
         zones: wire.localities,
@@ -229,7 +244,7 @@
     settings.gateways = wire.balancers;
     settings.ordinal = wire.ordinal;
     settings.zone = wire.zone.map(ZoneId);
-    settings.tick = duration(wire.tick_us);
+    settings.tick = duration_from_us(wire.tick_us);
     settings.discovery = if wire.discovery == "ask" { Discovery::Subscribed } else { Discovery::Pushed };
     settings.tenants =
         wire.tenants.iter().map(|t| TenantSettings { quota_per_s: non_negative(t.quota_per_s) }).collect();
@@ -238,7 +253,7 @@
         cancel: limits.cancel,
         health_checks: limits.probing,
         max_attempts: limits.max_attempts.unwrap_or(u32::MAX),
-        max_retry_after: limits.retry_after.then(|| duration(limits.max_retry_after_us)),
+        max_retry_after: limits.retry_after.then(|| duration_from_us(limits.max_retry_after_us)),
     };
     let (rules, object) = (&mut settings.rules, &wire.rules);
     let times = [
@@ -249,21 +264,21 @@
         (&mut rules.order_settle, object.order_settle_us),
     ];
     for (field, value) in times {
-        *field = value.map_or(*field, duration);
+        *field = value.map_or(*field, duration_from_us);
     }
     rules.slow_start_from = object.cold_from.map_or(rules.slow_start_from, non_negative);
     rules.overload_multiple = object.tip_multiple.map_or(rules.overload_multiple, non_negative);
     rules.retry_budget = object.extra_window_us.map(|window| RetryBudget {
         free: object.free_resends.map_or(0.0, non_negative),
         ratio: object.extra_ratio.map_or(0.0, non_negative),
-        window: duration(window),
+        window: duration_from_us(window),
     });
     settings.engine = EngineTraits {
         grants: specifics.grants,
         priorities: specifics.priorities,
         max_grant_share: specifics.max_grant_share.map_or(1.0, non_negative),
-        progress_interval: (specifics.progress_us > 0.0).then(|| duration(specifics.progress_us)),
-        idle_timeout: (limits.keepalive_us > 0.0).then(|| duration(limits.keepalive_us)),
+        progress_interval: (specifics.progress_us > 0.0).then(|| duration_from_us(specifics.progress_us)),
+        idle_timeout: (limits.keepalive_us > 0.0).then(|| duration_from_us(limits.keepalive_us)),
     };
     settings.over_quota_weight = wire.over_share_worth.map_or(1.0, non_negative);
     settings
@@ -276,14 +291,14 @@
         _ => KeyScope::All,
     };
     ClassSettings {
-        latency_objective: duration(wire.slo_us),
+        latency_objective: duration_from_us(wire.slo_us),
         objective_stretch: non_negative(wire.aim_stretch),
-        deadline: duration(wire.give_up_us),
+        deadline: duration_from_us(wire.give_up_us),
         priority_weight: non_negative(wire.value),
         late_weight: non_negative(wire.late_value),
         idempotency: match wire.effect.as_str() {
             "repeatable" => Idempotency::Idempotent,
-            "by_key" => Idempotency::Keyed { scope, window: duration(wire.memory_span_us) },
+            "by_key" => Idempotency::Keyed { scope, window: duration_from_us(wire.memory_span_us) },
             _ => Idempotency::NonIdempotent,
         },
         in_order: wire.in_order,
--- a/simulator-adapter/src/convert.rs
+++ b/simulator-adapter/src/convert.rs
@@ -4,16 +4,10 @@
 use reedwalk_scheduler::{EngineState, LoadReport, Outcome, ProgressReport, ResourceUsage};
 use std::time::Duration;
 
-/// Longest duration that is believed, in microseconds.
-const MAX_MICROS: f64 = 1e15;
 /// A bill packs milliseconds of work and memory into one number: the memory counts in units of 4 MB below this.
 const BILL_BASE: u64 = 4096;
 const BILL_MEMORY_UNIT_MB: u64 = 4;
 
-pub fn duration(micros: f64) -> Duration {
-    Duration::from_micros(micros.clamp(0.0, MAX_MICROS) as u64)
-}
-
 /// The outcome of an attempt, from the number of a system error.
 pub fn outcome(code: u32) -> Outcome {
     match code {
--- a/simulator-adapter/src/instance.rs
+++ b/simulator-adapter/src/instance.rs
@@ -1,6 +1,6 @@
 //! One instance of the scheduler in the simulation, and the names behind the ids that it knows.
 
-use crate::convert::{duration, engine_state, load, outcome, progress, usage};
+use crate::convert::{engine_state, load, outcome, progress, usage};
 use crate::gossip::{self, GossipPeer};
 use crate::wire::{self, In, Out};
 use reedwalk_scheduler::{
@@ -179,7 +179,7 @@
             ordering_key: key.as_deref().map(|text| reedwalk_settings::key(text.as_bytes())),
             table_group: source_set.map(|group| GroupId(group as u64)),
             time_left: Duration::from_micros(patience_left_us.max(0) as u64),
-            work: estimate_us.filter(|estimate| *estimate > 0.0).map(duration),
+            work: estimate_us.filter(|estimate| *estimate > 0.0).map(reedwalk_settings::duration_from_us),
             memory_mb: want_mb.filter(|memory| *memory > 0.0),
             is_retry: again_by_client,
             prior_attempt: None,
@@ -210,15 +210,15 @@
         }
     }
 
-    /// Steps the scheduler until nothing is heard of other instances any more.
+    /// Steps the scheduler until gossip brings no further events.
     pub fn run(&mut self, at: u64, reply: &mut Reply<'_>) {
         let mut events = std::mem::take(&mut self.events);
-        while let Some(heard) = self.step(at, &events, reply) {
-            events = heard;
+        while let Some(gossip_events) = self.step(at, &events, reply) {
+            events = gossip_events;
         }
     }
 
-    /// Takes in what happened and acts. Returns what was then heard of other instances, if anything.
+    /// Steps the scheduler once and carries out its actions. Returns the events that gossip then brings, if any.
     fn step(&mut self, at: u64, events: &[Event], reply: &mut Reply<'_>) -> Option<Vec<Event>> {
         let mut actions = Vec::new();
         let step = catch_unwind(AssertUnwindSafe(|| self.scheduler.step(Time(at), events, &mut actions)));
@@ -236,11 +236,11 @@
         }
         let gossip = self.gossip.as_mut()?;
         gossip.observe(&self.scheduler, now);
-        let (said, heard) = gossip.act(now);
-        for (dest, body) in &said {
+        let (notes, gossip_events) = gossip.act(now);
+        for (dest, body) in &notes {
             reply.push(&Out::BroadcastTo { controller_id: self.id, dest: *dest, body });
         }
-        (!heard.is_empty()).then_some(heard)
+        (!gossip_events.is_empty()).then_some(gossip_events)
     }
 
     /// Forgets the names of requests that have ended.
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -18,6 +18,6 @@
 pub use observation::{ClassLatencyStats, EngineObservation, SampledMean};
 pub use outcome::{LoadReport, Outcome, ResourceUsage};
 pub use settings::{
-    ClassSettings, Discovery, EngineTraits, Idempotency, KeyScope, KindSettings, Limits, RetryBudget, Rules,
-    Settings, SettingsError, TenantSettings,
+    ClassSettings, Deduplication, Discovery, EngineTraits, Idempotency, KeyScope, KindSettings, Limits,
+    RetryBudget, Rules, Settings, SettingsError, TenantSettings,
 };
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -21,6 +21,25 @@
     NonIdempotent,
 }
 
+/// How engines deduplicate the requests of a class with idempotency keys.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Deduplication {
+    /// Which engines deduplicate together.
+    pub scope: KeyScope,
+    /// How long they remember a key, from when the first attempt that may have run was sent.
+    pub window: Duration,
+}
+
+impl Idempotency {
+    /// How engines deduplicate the requests of this kind; `None` where they carry no idempotency key.
+    pub fn deduplication(self) -> Option<Deduplication> {
+        match self {
+            Self::Keyed { scope, window } => Some(Deduplication { scope, window }),
+            Self::Idempotent | Self::NonIdempotent => None,
+        }
+    }
+}
+
 /// The engines that deduplicate the requests of one idempotency key together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
