--- a/fault-injection/src/bin/reedwalk-fleet.rs
+++ b/fault-injection/src/bin/reedwalk-fleet.rs
@@ -1,5 +1,5 @@
-//! Plays one day of a fleet from its description: `reedwalk-fleet DAY.kdl [FOLDER]`. Prints what was seen by the second
-//! and what really applied, and draws charts into the folder.
+//! Runs one scenario from its description: `reedwalk-fleet DAY.kdl [FOLDER]`. Prints what was observed by the second and
+//! which faults were applied, and draws charts into the folder.
 
 use indicatif::{ProgressBar, ProgressStyle};
 use reedwalk_fault_injection::chart;
--- a/gossip/examples/membership.rs
+++ b/gossip/examples/membership.rs
@@ -1,6 +1,6 @@
 //! Beats against SWIM (the crate `foca`) in virtual time, by what each costs and how well it tells the living from the
 //! dead: bytes a second each, time until half and all have noticed a death, living ones taken for dead.
-//! `cargo run --release -p reedwalk-peers --example membership`
+//! `cargo run --release -p reedwalk-gossip --example membership`
 
 use foca::{
     AccumulatingRuntime, Config, Foca, Identity, Member, NoCustomBroadcast, OwnedNotification, PostcardCodec,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -166,6 +166,12 @@
     assert!(sends(&rig.actions[second..]).len() > 10, "the other half stays in use");
 }
 
+/// The first attempt of a request is served, with this load report.
+fn end_served(rig: &mut Rig, request: RequestId, load: Option<LoadReport>) {
+    let (attempt, outcome) = (AttemptNo(0), Outcome::Ok);
+    rig.step(&[Event::Ended(AttemptEnded { request, attempt, outcome, closed: true, usage: None, load })]);
+}
+
 #[test]
 fn late_or_invalid_reports_change_nothing() {
     let run = |load: Option<LoadReport>| {
@@ -173,15 +179,7 @@
         for _ in 0..50 {
             let request = rig.arrive(0);
             rig.pass(ms(40));
-            let (attempt, outcome) = (AttemptNo(0), Outcome::Ok);
-            rig.step(&[Event::Ended(AttemptEnded {
-                request,
-                attempt,
-                outcome,
-                closed: true,
-                usage: None,
-                load,
-            })]);
+            end_served(&mut rig, request, load);
         }
         sends(&rig.actions)
     };
@@ -392,15 +390,7 @@
         let request = rig.arrive(0);
         rig.pass(ms(20));
         let load = Some(LoadReport { cpu: Some(cpu), ..LoadReport::default() });
-        let (attempt, outcome) = (AttemptNo(0), Outcome::Ok);
-        rig.step(&[Event::Ended(AttemptEnded {
-            request,
-            attempt,
-            outcome,
-            closed: true,
-            usage: None,
-            load,
-        })]);
+        end_served(rig, request, load);
     }
 }
 
