--- a/src/policy/engine_selection.rs
+++ b/src/policy/engine_selection.rs
@@ -1,14 +1,14 @@
-//! Engine selection: the engine that a request's next attempt goes to, and for every other engine why not.
+//! Engine selection: chooses the engine for a request's next attempt and explains why each other engine was
+//! not chosen.
 //!
-//! The design's routing: fewest own queries among the engines with capacity. One function,
-//! [`Selection::assess`], says why an engine cannot serve a request; the selection and the explanation for
-//! the log both use it.
+//! Routes to the available engine with the fewest queries in flight from this gateway. The selection and its
+//! explanation in the log share [`Selection::assess`], so that they cannot disagree.
 
 use super::class_estimates::ClassEstimates;
 use super::concurrency_limits::PressureRule;
 use super::gateway_counts::GatewayCounts;
 use super::load_evidence::{LoadEvidence, SlowdownPrior};
-use super::retry_policy::RepetitionRule;
+use super::retry_policy::RetryPlacement;
 use super::slow_start::{SlowStart, SlowStartQuery};
 use crate::interface::{
     ClassId, ClassSettings, EngineExclusion, EngineId, EngineState, ExclusionReason, Settings,
@@ -16,97 +16,95 @@
 use crate::state::{EngineRecord, EngineTable, RequestRecord, RequestTable, mix};
 use crate::time::{TimeSpan, Timestamp};
 
-/// Slowdown that a new connection counts for: an engine with no connection of this gateway is taken where the
-/// others look slower by more than this, in best latencies. A gateway with little traffic would otherwise
-/// keep opening connections to all engines in turn (3,800 to 4,300 for 11,000 requests before). With 0.5 no
-/// gain showed.
-const CONNECT_PENALTY: f64 = 0.25;
-/// Slowdowns that differ by less than one over this are equal.
-const SLOWDOWN_STEPS: f64 = 16.0;
-/// Standard deviations of chance that a gateway may use beyond its part of the pool: one in 40 is beyond two.
-const BURST_DEVIATIONS: f64 = 2.0;
-/// The same for the class of the highest value density: as much again. With one for the other classes in
-/// place of two the score was 0.75 (0.80).
-const RESERVED_BURST_DEVIATIONS: f64 = 2.0 * BURST_DEVIATIONS;
+/// Penalty for an engine to which this gateway has no open connection, in units of slowdown. Without it, a
+/// gateway with little traffic keeps opening connections to all engines in turn.
+const NEW_CONNECTION_PENALTY: f64 = 0.25;
+/// Resolution of slowdown comparisons, in steps per unit of slowdown.
+const SLOWDOWN_STEPS_PER_UNIT: f64 = 16.0;
+/// Burst allowance beyond this gateway's share of the pool, in standard deviations of its number of queries.
+/// A burst exceeds two of them with a probability of about 1 in 40.
+const BURST_STD_DEVIATIONS: f64 = 2.0;
+/// Burst allowance of the class with the highest value density, in standard deviations.
+const HIGH_VALUE_BURST_STD_DEVIATIONS: f64 = 2.0 * BURST_STD_DEVIATIONS;
 
-/// What a selection reads. It changes nothing.
+/// Read-only inputs of a selection.
 pub(crate) struct SelectionContext<'a> {
-    /// Present time.
+    /// Current time.
     pub(crate) now: Timestamp,
-    /// The settings.
+    /// Scheduler settings.
     pub(crate) settings: &'a Settings,
-    /// The engines.
+    /// Known engines.
     pub(crate) engines: &'a EngineTable,
-    /// The requests, for the tables that bulk loads lock.
+    /// Open requests, which show the tables that bulk loads lock.
     pub(crate) requests: &'a RequestTable,
-    /// What the classes usually need.
+    /// Typical resource needs of each class.
     pub(crate) estimates: &'a ClassEstimates,
-    /// The pool's load.
+    /// Load of the whole pool.
     pub(crate) pool: &'a LoadEvidence,
-    /// The rule of slow start.
+    /// Admission rule for engines in slow start.
     pub(crate) slow_start: &'a SlowStart,
-    /// How many gateways share the pool.
+    /// Number of gateways that share the pool.
     pub(crate) gateways: &'a GatewayCounts,
-    /// Breaks ties between engines, differently for each gateway.
+    /// Seed of the tie-breaker, different for each gateway.
     pub(crate) seed: u64,
 }
 
-/// The engine that was selected, if any, and those whose concurrency limits were reached on the way.
+/// The selected engine, if any, and the engines whose concurrency limits the request exceeds.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct SelectedEngine {
-    /// The engine; `None` where no engine can serve the request now.
+    /// `None` if no engine can serve the request now.
     pub(crate) engine: Option<EngineId>,
-    /// Engines at which the request exceeds the concurrency limit, whether that binds or not: they may be
-    /// raised.
+    /// Engines whose concurrency limit the request exceeds, whether or not the limit is enforced. Their
+    /// limits are candidates for a raise.
     pub(crate) limits_reached: Vec<EngineId>,
 }
 
-/// What an engine says to a request.
+/// Whether one engine can serve the request.
 struct Assessment {
-    /// Why it cannot serve the request, if it cannot.
+    /// Why the engine cannot serve the request; `None` if it can.
     exclusion: Option<ExclusionReason>,
-    /// The request exceeds its concurrency limit.
+    /// Whether the request exceeds the engine's concurrency limit, enforced or not.
     is_limit_reached: bool,
 }
 
-/// Rank of an engine that can serve a request. The lowest is selected; each field decides where those before
-/// it are equal.
+/// Sort key of an engine that can serve the request. The lowest rank is selected; fields are compared in the
+/// order of their declaration.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EngineRank {
-    /// The request's last attempt went there: another engine is better for a retry.
+    /// The request's last attempt went to this engine; a retry prefers another one.
     had_last_attempt: bool,
-    /// Own attempts in flight there: the design's fewest own queries.
+    /// This gateway's attempts in flight at the engine.
     in_flight: usize,
-    /// How slow it looks, with the penalty of a new connection, in steps of 1/16 of the best latency. Zero
-    /// for bulk loads.
+    /// Estimated slowdown plus the penalty for a new connection, in steps of 1/16 of the best latency. For
+    /// bulk loads the slowdown counts as zero.
     slowdown_steps: u64,
-    /// It is in another zone than this gateway.
+    /// The engine is in another zone than this gateway.
     is_in_other_zone: bool,
-    /// When this gateway last sent something there: the engine that has waited longest is next.
+    /// When this gateway last sent an attempt to the engine; the least recently used engine is preferred.
     last_sent: Timestamp,
-    /// A number of the engine that differs between gateways, so that they don't all choose the same engine.
+    /// Hash that differs between gateways, so that they do not all choose the same engine.
     tie_breaker: u64,
-    /// The engine itself; last, so that the order is total.
+    /// Compared last, which makes the order total.
     engine: EngineId,
 }
 
-/// The selection of an engine for one request.
+/// Engine selection for one request.
 pub(crate) struct Selection<'a> {
     context: &'a SelectionContext<'a>,
     request: &'a RequestRecord,
     class: &'a ClassSettings,
     threads: f64,
     query: SlowStartQuery,
-    /// Where the request may be sent, as an attempt of it may have run.
-    repetition: RepetitionRule,
+    /// Engines that the request may be sent to, given that an earlier attempt may have run.
+    retry_placement: RetryPlacement,
     pressure: PressureRule<'a>,
     slowdown_prior: SlowdownPrior,
-    /// All that is in flight and the request fit in all limits together.
+    /// The request and everything in flight fit within the sum of all limits plus the burst allowance.
     pool_has_capacity: bool,
 }
 
 impl<'a> Selection<'a> {
-    /// A selection for a request's next attempt.
+    /// Prepares the selection for a request's next attempt.
     pub(crate) fn new(context: &'a SelectionContext<'a>, request: &'a RequestRecord) -> Self {
         let class_id = request.arrival.class;
         let class = &context.settings.classes[class_id.0];
@@ -118,14 +116,14 @@
             class,
             threads,
             query: SlowStartQuery { class: class_id, work_us },
-            repetition: RepetitionRule::new(class.idempotency, request.possible_run, context.now),
+            retry_placement: RetryPlacement::new(class.idempotency, request.possible_run, context.now),
             pressure: PressureRule { pool: context.pool, gateways: context.gateways, now: context.now },
             slowdown_prior: SlowdownPrior::new(context.pool, context.estimates),
             pool_has_capacity: pool_has_capacity(context, class_id, threads),
         }
     }
 
-    /// The engine with the lowest rank among those that can serve the request.
+    /// Selects the engine with the lowest rank among those that can serve the request.
     pub(crate) fn select(&self) -> SelectedEngine {
         let (mut best, mut limits_reached) = (None, Vec::new());
         for (id, engine) in self.context.engines.iter() {
@@ -144,7 +142,7 @@
         SelectedEngine { engine: best.map(|rank| rank.engine), limits_reached }
     }
 
-    /// For every engine but the one that would be selected, why it is not.
+    /// Explains why each engine except the selected one is not selected.
     pub(crate) fn explain(&self) -> Vec<EngineExclusion> {
         let selected = self.select().engine;
         let others = self.context.engines.iter().filter(|(id, _)| Some(*id) != selected);
@@ -155,11 +153,11 @@
         explained.collect()
     }
 
-    /// Whether an engine can serve the request, and if not, why. The reasons are looked at in this order:
-    /// drain, placement and retries; health; slow start; locked tables; the concurrency limit.
+    /// Returns whether an engine can serve the request, and if not, the first reason in this order: draining,
+    /// placement and retry rules; health; slow start; locked tables; the concurrency limit.
     ///
-    /// It runs once for each engine and request, so it is inlined with what it calls: 8% fewer
-    /// instructions a request with 20 engines.
+    /// Runs once per engine and request. Inlining it and its callees saves 8% of the instructions per request
+    /// with 20 engines.
     #[inline]
     fn assess(&self, engine: &EngineRecord) -> Assessment {
         let exclusion = self.placement_exclusion(engine).or_else(|| {
@@ -175,7 +173,7 @@
         Assessment { exclusion, is_limit_reached }
     }
 
-    /// Rules of drain, placement and retries: may this request go there at all?
+    /// Checks the rules for draining, placement and retries.
     #[inline]
     fn placement_exclusion(&self, engine: &EngineRecord) -> Option<ExclusionReason> {
         let (entry, class) = (&engine.entry, self.class);
@@ -193,7 +191,7 @@
         {
             return Some(ExclusionReason::KindRestricted);
         }
-        self.repetition.exclusion(entry)
+        self.retry_placement.exclusion(entry)
     }
 
     #[inline]
@@ -201,16 +199,17 @@
         let context = self.context;
         if !context.slow_start.admits(&self.query, engine, context.gateways, context.now) {
             Some(ExclusionReason::SlowStartBudget)
-        } else if self.is_locked(engine) {
+        } else if self.has_locked_tables(engine) {
             Some(ExclusionReason::TableLocked)
         } else {
             None
         }
     }
 
-    /// A bulk load of this gateway locks the request's tables there: it would be blocked and keep its memory,
-    /// so it waits for another engine or the load's end. Guards against hot tables; blind to others' loads.
-    fn is_locked(&self, engine: &EngineRecord) -> bool {
+    /// Whether a bulk load of this gateway locks the request's tables on the engine. A query sent there would
+    /// block and hold its memory, so the request waits for another engine or for the end of the load. Guards
+    /// against contention on hot tables. Bulk loads of other gateways are not visible here.
+    fn has_locked_tables(&self, engine: &EngineRecord) -> bool {
         (self.class.is_load || self.class.waits_for_loads)
             && self.request.arrival.table_group.is_some()
             && engine
@@ -220,8 +219,8 @@
                 .any(|load| self.context.requests.shares_table_group(*load, self.request))
     }
 
-    /// The request exceeds the engine's limit. A limit below one query's threads still allows one query an
-    /// engine, while the pool has capacity.
+    /// Whether the request exceeds the engine's limit. While the pool has capacity, an idle engine accepts
+    /// one query even if its limit is below the threads of that query.
     fn is_limit_reached(&self, engine: &EngineRecord) -> bool {
         engine.limit.is_exceeded_by(engine.attempts.threads(), self.threads)
             && (engine.attempts.in_flight() > 0 || !self.pool_has_capacity)
@@ -229,7 +228,7 @@
 
     fn rank(&self, id: EngineId, engine: &EngineRecord) -> EngineRank {
         let context = self.context;
-        let connect_penalty = if self.is_connected(engine) { 0.0 } else { CONNECT_PENALTY };
+        let new_connection_penalty = if self.is_connected(engine) { 0.0 } else { NEW_CONNECTION_PENALTY };
         let slowdown = if self.class.is_load {
             0.0
         } else {
@@ -238,7 +237,7 @@
         EngineRank {
             had_last_attempt: self.request.last_engine == Some(id),
             in_flight: engine.attempts.in_flight(),
-            slowdown_steps: ((slowdown + connect_penalty) * SLOWDOWN_STEPS) as u64,
+            slowdown_steps: ((slowdown + new_connection_penalty) * SLOWDOWN_STEPS_PER_UNIT) as u64,
             is_in_other_zone: context.settings.zone.is_some() && engine.entry.zone != context.settings.zone,
             last_sent: engine.attempts.last_sent(),
             tie_breaker: mix(u64::from(id.0) ^ context.seed),
@@ -246,8 +245,8 @@
         }
     }
 
-    /// A connection of this gateway to the engine should still be open. An engine in slow start counts as
-    /// connected: it needs connections from all gateways.
+    /// Whether a connection of this gateway to the engine should still be open. An engine in slow start
+    /// counts as connected because it needs connections from all gateways.
     fn is_connected(&self, engine: &EngineRecord) -> bool {
         let (context, attempts) = (self.context, &engine.attempts);
         let idle = context.now - attempts.last_sent();
@@ -258,8 +257,9 @@
     }
 }
 
-/// One query an engine is too much from many gateways: where a limit is below a query's threads, all that is
-/// in flight must fit in all limits together, with the allowance for bursts.
+/// Whether the pool has capacity for a query that exceeds the limit of an idle engine. One such query per
+/// engine from each of many gateways would overload the pool, so everything in flight must fit within the sum
+/// of all limits plus the burst allowance.
 fn pool_has_capacity(context: &SelectionContext, class: ClassId, threads: f64) -> bool {
     let (mut in_flight, mut limits) = (0.0, 0.0);
     for engine in context.engines.in_service() {
@@ -271,20 +271,23 @@
     in_flight == 0.0 || in_flight + threads <= limits + burst_allowance(context, class, limits, threads)
 }
 
-/// Threads that a gateway may use beyond its part of the pool, as its traffic swings by chance. With limits
-/// `l`, a query's threads `t` and `g` gateways: `2 sqrt(l t (1 - 1/g))`, two standard deviations of a number
-/// of queries whose mean fills the part; none for a single gateway.
+/// Threads that a gateway may use beyond its share of the pool, because its traffic varies randomly. With the
+/// sum of the limits `l`, the threads of a query `t` and `g` gateways it is `2 sqrt(l t (1 - 1/g))`: two
+/// standard deviations of the number of queries whose mean fills the share. It is zero for a single gateway.
 ///
-/// The pool bears the sum over all gateways, in which the swings of many cancel out; held to its even part,
-/// each would reject what others leave free (before this allowance, at 100 gateways, the limits were the
-/// reason in 9 of 10 cases in which a request found no engine). Costs where all gateways have too much at
-/// once, until the limits are cut. The class of the highest value density has four deviations, a reserve of
-/// its own, as in trunk reservation: one wide query that runs for seconds would shut out many of it. Not in
-/// the design, which leaves guards to this program.
+/// The pool carries the sum over all gateways, in which random variations largely cancel out. A gateway
+/// limited to its equal share would reject requests that the pool has capacity for: at 100 gateways without
+/// the allowance, the limits were the reason in 9 of 10 cases in which a request found no engine. The
+/// drawback is fewer answered requests when all gateways burst at once, until the limits are cut.
+///
+/// The class with the highest value density gets four standard deviations. The difference is reserved for it,
+/// as in trunk reservation: otherwise one wide query that runs for seconds would block many of its queries.
+/// The allowance is an addition to the product's design, which leaves such safeguards to the implementation.
 fn burst_allowance(context: &SelectionContext, class: ClassId, limits: f64, threads: f64) -> f64 {
-    let has_reserve = context.estimates.has_max_value_density(class);
-    let deviations = if has_reserve { RESERVED_BURST_DEVIATIONS } else { BURST_DEVIATIONS };
-    deviations * (limits * threads * (1.0 - 1.0 / context.gateways.live())).sqrt()
+    let has_burst_reserve = context.estimates.has_max_value_density(class);
+    let std_deviations =
+        if has_burst_reserve { HIGH_VALUE_BURST_STD_DEVIATIONS } else { BURST_STD_DEVIATIONS };
+    std_deviations * (limits * threads * (1.0 - 1.0 / context.gateways.live())).sqrt()
 }
 
 #[cfg(test)]
--- a/src/policy/engine_selection/tests.rs
+++ b/src/policy/engine_selection/tests.rs
@@ -1,4 +1,4 @@
-//! The engine that is selected, and for each other the reason why not.
+//! Tests of the selected engine and of the exclusion reason of every other engine.
 
 use super::*;
 use crate::interface::{
@@ -9,7 +9,7 @@
 use crate::state::{EngineDefaults, PossibleRun};
 use std::time::Duration;
 
-/// A pool and all that a selection reads.
+/// A pool of engines with all inputs of a selection.
 struct TestPool {
     settings: Settings,
     engines: EngineTable,
@@ -38,10 +38,10 @@
         self.engines.update(&entry, 16.0, &defaults);
     }
 
-    fn with_context<T>(&self, read: impl FnOnce(&SelectionContext) -> T) -> T {
+    fn with_context<T>(&self, evaluate: impl FnOnce(&SelectionContext) -> T) -> T {
         let estimates = ClassEstimates::new(&self.settings);
         let slow_start = SlowStart::new(&self.settings, 7);
-        read(&SelectionContext {
+        evaluate(&SelectionContext {
             now: at_ms(0),
             settings: &self.settings,
             engines: &self.engines,
@@ -65,7 +65,7 @@
         self.select(request).0.engine
     }
 
-    /// Why engine 0 is not selected.
+    /// Why engine 0 is not selected; `None` if it is.
     fn exclusion(&self, request: &RequestRecord) -> Option<ExclusionReason> {
         let explained = self.select(request).1;
         explained.iter().find(|exclusion| exclusion.engine == EngineId(0)).map(|exclusion| exclusion.reason)
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn reached_limit_binds_only_under_pressure() {
+fn reached_limit_is_enforced_only_under_pressure() {
     let mut pool = TestPool::new(1);
     pool.engine(0).attempts.add(RequestId(9), 24.0, false, at_ms(0));
     let reached = vec![EngineId(0)];
@@ -187,16 +187,24 @@
     let estimates = ClassEstimates::new(&pool.settings);
     let prior = SlowdownPrior::new(&pool.pool, &estimates);
     pool.engine(1).slowdown.observe(1.4, &prior, at_ms(0));
-    assert_eq!(pool.selected(&request(1, 0)), Some(EngineId(1)), "it looks slower by 0.2");
+    assert_eq!(
+        pool.selected(&request(1, 0)),
+        Some(EngineId(1)),
+        "slowdown is higher by 0.2, less than the penalty"
+    );
     pool.engine(1).slowdown.observe(1.5, &prior, at_ms(0));
-    assert_eq!(pool.selected(&request(1, 0)), Some(EngineId(0)), "it looks slower by 0.35");
+    assert_eq!(
+        pool.selected(&request(1, 0)),
+        Some(EngineId(0)),
+        "slowdown is higher by 0.35, more than the penalty"
+    );
 }
 
 #[test]
-fn burst_allowance_is_none_for_one_gateway_and_larger_for_the_first_class() {
+fn burst_allowance_is_zero_for_one_gateway_and_larger_for_the_class_of_highest_value_density() {
     let mut pool = TestPool::new(10);
     pool.engines.values_mut().for_each(|engine| engine.limit.scale(0.01));
-    // Limits of 2.4 threads in all; at 100 gateways an allowance of 6.2 for either class.
+    // The limits add up to 2.4 threads. At 100 gateways the burst allowance is 6.2 threads for either class.
     let mut has_capacity = |gateways, class: usize, threads_in_use| {
         pool.gateways = GatewayCounts::new(gateways);
         pool.engine(0).attempts = crate::state::EngineAttempts::new(at_ms(0));
--- a/src/policy/retry_policy.rs
+++ b/src/policy/retry_policy.rs
@@ -1,8 +1,8 @@
-//! Retry policy: whether another attempt may be sent for a request, its budget, and whether a running attempt
-//! is cancelled for one.
+//! Retry policy: decides whether a request may have another attempt, enforces the retry budget, and decides
+//! whether a running attempt is cancelled for a retry.
 //!
-//! The design leaves retries to this program. The platform's rules are the budget, and that nothing may run
-//! twice where the class does not allow it.
+//! Two rules are given: the retry budget, and that a request must not run twice unless its class allows it.
+//! The rest is left to the implementation.
 
 use super::class_estimates::ClassEstimates;
 use super::gateway_counts::GatewayCounts;
@@ -12,48 +12,49 @@
 use crate::state::{EventWindow, InFlightAttempt, PossibleRun, RequestRecord};
 use crate::time::{TimeSpan, Timestamp};
 
-/// An attempt projected to need this many times its class's mean is taken for a bad plan.
+/// Projected remaining time, as a multiple of the class's usual time, above which a bad query plan is
+/// assumed.
 const BAD_PLAN_MULTIPLE: f64 = 4.0;
-/// An attempt projected to need this many times what its client will wait can't meet its deadline; progress
-/// reports are rough.
-const CANNOT_FINISH_MULTIPLE: f64 = 1.5;
-/// A retry is worth it with this many times the usual execution time left.
-const RETRY_TIME_MULTIPLE: f64 = 1.5;
-/// Attempts after which one that can't meet its deadline is not cancelled for another.
+/// Projected remaining time, as a multiple of the time to the deadline, above which an attempt cannot finish
+/// in time. It exceeds 1 because progress reports are imprecise.
+const MISSED_DEADLINE_MULTIPLE: f64 = 1.5;
+/// Time to the deadline, as a multiple of the usual execution time, above which a retry is worthwhile.
+const MIN_RETRY_TIME_MULTIPLE: f64 = 1.5;
+/// Number of attempts from which on one that cannot meet its deadline is not cancelled for a retry.
 const MAX_CANCELLED_ATTEMPTS: u32 = 3;
-/// Share of the retries after bad plans that must have done better for more of them.
+/// Share of the retries after bad plans that must have run faster for further retries of that kind.
 const MIN_RETRY_BENEFIT: f64 = 0.5;
-/// Smallest share of a query that a progress report is taken for, so that projections stay finite.
+/// Lower bound on the reported share of completed work, so that projections stay finite.
 const MIN_DONE_SHARE: f64 = 1e-3;
 
-/// Why no further attempt may be sent for a request.
+/// Why a request may not have another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryRefusal {
-    /// An attempt may have run, and the class must not run twice.
+    /// An attempt may have run, and the class is not idempotent.
     NotIdempotent,
-    /// An attempt may have run, and engines may have forgotten its idempotency key.
+    /// An attempt may have run, and engines may no longer remember its idempotency key.
     IdempotencyWindowOver,
-    /// The request has had all its attempts.
-    AttemptsUsed,
-    /// The budget of retries is used up.
-    BudgetUsed,
+    /// The request has reached the maximum number of attempts.
+    AttemptsExhausted,
+    /// The retry budget is exhausted.
+    BudgetExhausted,
 }
 
-/// What is done about a running attempt after a progress report.
+/// Decision about a running attempt after a progress report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ProgressVerdict {
-    /// It goes on.
+    /// The attempt continues.
     Continue,
-    /// It is cancelled for another, if the rules allow one.
+    /// The attempt is cancelled for a retry, if the retry rules allow one.
     CancelForRetry {
-        /// Projected time of the attempt in microseconds.
+        /// Projected execution time of the attempt, in microseconds.
         projected_us: f64,
     },
-    /// It will end long after its client has gone, and no other attempt would do better.
+    /// The attempt will miss its deadline by far, and a retry would not help.
     EndRequest,
 }
 
-/// The rule of retries: in any window they are at most a share of the requests, and some free ones.
+/// Retry budget: in any window, retries are limited to a share of the requests plus a free allowance.
 struct RetryBudget {
     settings: Option<RetryBudgetSettings>,
     requests: EventWindow,
@@ -61,8 +62,8 @@
 }
 
 impl RetryBudget {
-    /// Whether one more retry is within `free + ratio × requests in the window`. Always where there is no
-    /// budget.
+    /// Whether one more retry is within `free + ratio × requests in the window`. Always true without a
+    /// configured budget.
     fn admits(&self, gateways: &GatewayCounts, now: Timestamp) -> bool {
         let Some(budget) = &self.settings else { return true };
         let since = now - TimeSpan::from(budget.window);
@@ -79,7 +80,7 @@
     }
 }
 
-/// When another attempt may be sent.
+/// Decides when a request may have another attempt.
 pub(crate) struct RetryPolicy {
     max_attempts: u32,
     can_cancel: bool,
@@ -87,7 +88,7 @@
 }
 
 impl RetryPolicy {
-    /// The policy by the settings; nothing was sent yet.
+    /// Creates a policy from the settings, with an empty history.
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
             max_attempts: settings.limits.max_attempts,
@@ -100,24 +101,24 @@
         }
     }
 
-    /// A request has arrived.
+    /// Records the arrival of a request.
     pub(crate) fn record_request(&mut self, now: Timestamp) {
         if self.budget.settings.is_some() {
             self.budget.requests.push(now);
         }
     }
 
-    /// A retry is sent.
+    /// Records that a retry is sent.
     pub(crate) fn record_retry(&mut self, now: Timestamp) {
         self.budget.retries.push(now);
     }
 
-    /// Forgets what lies before the window of the budget.
+    /// Drops events older than the budget window.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         self.budget.expire(now);
     }
 
-    /// Number of events remembered.
+    /// Number of events kept for the budget.
     pub(crate) fn tracked(&self) -> usize {
         self.budget.requests.len() + self.budget.retries.len()
     }
@@ -127,10 +128,10 @@
         self.budget.admits(gateways, now)
     }
 
-    /// Whether another attempt could be sent, if what is in flight now had run.
+    /// Checks whether another attempt may be sent, assuming that the attempt in flight has run.
     ///
     /// # Errors
-    /// Why not.
+    /// Returns the reason why a retry is refused.
     pub(crate) fn check_retry(
         &self,
         request: &RequestRecord,
@@ -139,15 +140,15 @@
         now: Timestamp,
     ) -> Result<(), RetryRefusal> {
         let in_flight_since = request.in_flight.as_ref().map(|attempt| attempt.sent);
-        let ran_since = request.possible_run.map(|run| run.sent).or(in_flight_since);
-        check_repetition(idempotency, ran_since, now)?;
+        let possible_run_at = request.possible_run.map(|run| run.sent).or(in_flight_since);
+        check_rerun(idempotency, possible_run_at, now)?;
         if request.attempts >= self.max_attempts {
-            return Err(RetryRefusal::AttemptsUsed);
+            return Err(RetryRefusal::AttemptsExhausted);
         }
-        if self.budget.admits(gateways, now) { Ok(()) } else { Err(RetryRefusal::BudgetUsed) }
+        if self.budget.admits(gateways, now) { Ok(()) } else { Err(RetryRefusal::BudgetExhausted) }
     }
 
-    /// Whether a request's attempt may be cancelled for another.
+    /// Whether a request's attempt may be cancelled for a retry.
     pub(crate) fn may_cancel_for_retry(
         &self,
         request: &RequestRecord,
@@ -162,17 +163,17 @@
             && self.check_retry(request, idempotency, gateways, now).is_ok()
     }
 
-    /// Evaluates a running attempt by the share of its query that is done. With the elapsed time `e` and the
-    /// share `d` it is projected to take `e / d`, so `e / d (1 - d)` remains.
+    /// Evaluates a running attempt by the completed share of its query. With the elapsed time `e` and the
+    /// completed share `d`, the projected total is `e / d`, of which `e / d (1 - d)` remains.
     ///
-    /// - A bad plan: more remains than 4 usual execution times. A retry draws a new plan. A query costly in
-    ///   itself looks the same at first, so a request is cancelled for that once only, and not where it has
-    ///   not helped.
-    /// - It cannot finish: more remains than 1.5 times what its client will wait, and it is a retry already.
-    ///   It is cancelled again, up to 3 attempts, or the request is ended.
+    /// - Bad plan: more than 4 usual execution times remain. A retry gets a new plan. A query that is
+    ///   expensive in itself looks the same at first, so this reason cancels a request only once, and not in
+    ///   a class where such retries have not helped.
+    /// - Cannot finish: more than 1.5 times the time to the deadline remains, and the attempt is a retry. It
+    ///   is cancelled again while the request has fewer than 3 attempts; otherwise the request is ended.
     ///
-    /// Neither is evaluated before the class's usual time is known, and no attempt is cancelled with less
-    /// than 1.5 usual execution times left.
+    /// Neither applies before the class's usual time is known. No attempt is cancelled for a retry with less
+    /// than 1.5 usual execution times to the deadline.
     pub(crate) fn evaluate_progress(
         &self,
         request: &RequestRecord,
@@ -190,11 +191,11 @@
         let retry_helps = estimates.retry_benefit(class).is_none_or(|share| share > MIN_RETRY_BENEFIT);
         let is_bad_plan =
             retry_helps && request.bad_plan_time_us.is_none() && remaining_us > BAD_PLAN_MULTIPLE * usual_us;
-        let cannot_finish = remaining_us > CANNOT_FINISH_MULTIPLE * time_left_us && request.attempts > 1;
+        let cannot_finish = remaining_us > MISSED_DEADLINE_MULTIPLE * time_left_us && request.attempts > 1;
         let may_retry = is_bad_plan || cannot_finish && request.attempts < MAX_CANCELLED_ATTEMPTS;
         if attempt.cancelled || !estimates.is_execution_time_known(class) {
             ProgressVerdict::Continue
-        } else if time_left_us > RETRY_TIME_MULTIPLE * usual_us && may_retry {
+        } else if time_left_us > MIN_RETRY_TIME_MULTIPLE * usual_us && may_retry {
             ProgressVerdict::CancelForRetry { projected_us }
         } else if cannot_finish && self.can_cancel {
             ProgressVerdict::EndRequest
@@ -204,13 +205,13 @@
     }
 }
 
-/// Whether a request that may have run since an instant may run again, at some engine.
-fn check_repetition(
+/// Checks whether a request may run again on any engine, given when an attempt that may have run was sent.
+fn check_rerun(
     idempotency: Idempotency,
-    ran_since: Option<Timestamp>,
+    possible_run_at: Option<Timestamp>,
     now: Timestamp,
 ) -> Result<(), RetryRefusal> {
-    match (idempotency, ran_since) {
+    match (idempotency, possible_run_at) {
         (Idempotency::Idempotent, _) | (_, None) => Ok(()),
         (Idempotency::NonIdempotent, Some(_)) => Err(RetryRefusal::NotIdempotent),
         (Idempotency::Keyed { window, .. }, Some(sent)) if now - sent < window.into() => Ok(()),
@@ -218,40 +219,40 @@
     }
 }
 
-/// Where a request may be sent, as far as an attempt of it may have run.
+/// Engines that a request may be sent to, given that an earlier attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum RepetitionRule {
-    /// To any engine.
+pub(super) enum RetryPlacement {
+    /// Any engine.
     AnyEngine,
-    /// To the engines of one deduplication group, which drop the request if it did run.
-    OneGroup {
-        /// What the groups go by.
+    /// Engines of one deduplication group, which discard the request if it has already run.
+    SameGroup {
+        /// What the deduplication groups are based on.
         scope: KeyScope,
-        /// The group; `None` where it is not known, and no engine may get the request.
+        /// The group; `None` if it is unknown, which excludes every engine.
         group: Option<u64>,
     },
-    /// To no engine.
+    /// No engine.
     NoEngine(RetryRefusal),
 }
 
-impl RepetitionRule {
-    /// The rule for a request of a class, of which this run is possible.
+impl RetryPlacement {
+    /// Determines the placement from the class's idempotency and an earlier attempt that may have run.
     pub(super) fn new(idempotency: Idempotency, run: Option<PossibleRun>, now: Timestamp) -> Self {
         let Some(run) = run else { return Self::AnyEngine };
-        match (check_repetition(idempotency, Some(run.sent), now), idempotency) {
+        match (check_rerun(idempotency, Some(run.sent), now), idempotency) {
             (Err(refusal), _) => Self::NoEngine(refusal),
             (Ok(()), Idempotency::Keyed { scope, .. }) if scope != KeyScope::All => {
-                Self::OneGroup { scope, group: run.group }
+                Self::SameGroup { scope, group: run.group }
             }
             (Ok(()), _) => Self::AnyEngine,
         }
     }
 
-    /// Why an engine may not get the request; `None` if it may.
+    /// Why the request may not be sent to an engine; `None` if it may.
     pub(super) fn exclusion(&self, engine: &EngineEntry) -> Option<ExclusionReason> {
         match self {
             Self::AnyEngine => None,
-            Self::OneGroup { scope, group } => {
+            Self::SameGroup { scope, group } => {
                 let is_same = group.is_some() && *group == scope.group(engine);
                 (!is_same).then_some(ExclusionReason::OtherDeduplicationGroup)
             }
@@ -263,8 +264,8 @@
     }
 }
 
-/// Whether an attempt has missed its progress reports. Engines report on all that runs: the end of an attempt
-/// that misses them is lost, wherever it is.
+/// Whether an attempt has missed its progress reports. Engines report on every running query, so the result
+/// of an attempt without reports is lost, wherever the fault is.
 pub(crate) fn is_lost(
     attempt: &InFlightAttempt,
     missed_reports_after: Option<TimeSpan>,
--- a/src/policy/retry_policy/tests.rs
+++ b/src/policy/retry_policy/tests.rs
@@ -1,4 +1,4 @@
-//! Whether another attempt may be sent, and what a progress report leads to.
+//! Tests of whether a retry is allowed, and of the decisions on progress reports.
 
 use super::*;
 use crate::interface::{ClassId, EngineId, ZoneId};
@@ -25,7 +25,7 @@
 #[test]
 fn retry_is_refused_by_idempotency_and_number_of_attempts() {
     assert_eq!(check(Idempotency::Idempotent, 2, 0), Ok(()));
-    assert_eq!(check(Idempotency::Idempotent, 3, 0), Err(RetryRefusal::AttemptsUsed));
+    assert_eq!(check(Idempotency::Idempotent, 3, 0), Err(RetryRefusal::AttemptsExhausted));
     assert_eq!(check(Idempotency::NonIdempotent, 1, 0), Err(RetryRefusal::NotIdempotent));
     assert_eq!(check(keyed(KeyScope::All), 1, 499), Ok(()));
     assert_eq!(check(keyed(KeyScope::All), 1, 500), Err(RetryRefusal::IdempotencyWindowOver));
@@ -36,14 +36,14 @@
     let run = Some(PossibleRun { group: Some(3), sent: at_ms(0) });
     let exclusion = |scope, run, zone: Option<usize>| {
         let engine = EngineEntry { zone: zone.map(ZoneId), ..EngineEntry::new(EngineId(0)) };
-        RepetitionRule::new(keyed(scope), run, at_ms(0)).exclusion(&engine)
+        RetryPlacement::new(keyed(scope), run, at_ms(0)).exclusion(&engine)
     };
     let other_group = Some(ExclusionReason::OtherDeduplicationGroup);
     assert_eq!(exclusion(KeyScope::Zone, run, Some(3)), None);
     assert_eq!(exclusion(KeyScope::Zone, run, Some(4)), other_group);
     assert_eq!(exclusion(KeyScope::Zone, run, None), other_group);
     assert_eq!(exclusion(KeyScope::All, run, None), None);
-    assert_eq!(exclusion(KeyScope::Zone, None, None), None, "nothing may have run");
+    assert_eq!(exclusion(KeyScope::Zone, None, None), None, "no attempt may have run");
     let unknown_group = Some(PossibleRun { group: None, sent: at_ms(0) });
     assert_eq!(exclusion(KeyScope::Zone, unknown_group, None), other_group, "two unknown groups may differ");
 }
@@ -61,10 +61,10 @@
     }
     assert!(!policy.has_budget(&gateways, at_ms(0)));
     let refused = policy.check_retry(&running(1), Idempotency::Idempotent, &gateways, at_ms(0));
-    assert_eq!(refused, Err(RetryRefusal::BudgetUsed));
+    assert_eq!(refused, Err(RetryRefusal::BudgetExhausted));
     policy.expire(at_ms(1001));
     assert_eq!(policy.tracked(), 0);
-    assert!(policy.has_budget(&gateways, at_ms(1001)), "the free one again");
+    assert!(policy.has_budget(&gateways, at_ms(1001)), "the free retry is available again");
 }
 
 #[test]
@@ -76,7 +76,11 @@
         let attempt = running.in_flight.as_ref().expect("in flight");
         policy.evaluate_progress(running, attempt, done, estimates, at_ms(100))
     };
-    assert_eq!(verdict(&running(1), 0.1, &estimates), ProgressVerdict::Continue, "nothing to compare with");
+    assert_eq!(
+        verdict(&running(1), 0.1, &estimates),
+        ProgressVerdict::Continue,
+        "the usual execution time is unknown"
+    );
     let (class, execution_time) = (ClassId(0), TimeSpan::from_millis(100));
     let (usage, memory_estimate_mb, bad_plan_time_us) = (None, None, None);
     let query = CompletedQuery { class, execution_time, usage, memory_estimate_mb, bad_plan_time_us };
@@ -95,7 +99,11 @@
     );
     let mut third = running(3);
     third.bad_plan_time_us = Some(1e6);
-    assert_eq!(verdict(&third, 0.001, &estimates), ProgressVerdict::EndRequest, "it cannot finish in time");
+    assert_eq!(
+        verdict(&third, 0.001, &estimates),
+        ProgressVerdict::EndRequest,
+        "the third attempt cannot finish in time"
+    );
 }
 
 #[test]
@@ -103,5 +111,5 @@
     let attempt = InFlightAttempt::new(EngineId(0), 0, at_ms(0));
     let limit = Some(TimeSpan::from_millis(500));
     assert!(!is_lost(&attempt, limit, at_ms(500)) && is_lost(&attempt, limit, at_ms(501)));
-    assert!(!is_lost(&attempt, None, at_ms(9000)), "engines that send none");
+    assert!(!is_lost(&attempt, None, at_ms(9000)), "engines do not send progress reports");
 }
