--- a/src/scheduler/attempts.rs
+++ b/src/scheduler/attempts.rs
@@ -71,8 +71,8 @@
     fn evaluate_engine(&mut self, id: EngineId, outcome: Outcome, actions: &mut Vec<Action>) {
         let Some(engine) = self.engines.get_mut(id) else { return };
         match engine.health.evaluate(outcome, self.now) {
-            OutlierVerdict::Sound => return,
-            OutlierVerdict::Full => {
+            OutlierVerdict::NoFault => return,
+            OutlierVerdict::AtCapacity => {
                 engine.limit.mark_full(self.now);
                 engine.load.record_rejection();
                 self.pool.record_rejection();
