--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,8 +1,7 @@
-//! Slow start: how far an engine that has just started has warmed up, and what may be sent to it meanwhile.
+//! Slow start: estimates the warm-up of a recently started engine and limits the work sent to it meanwhile.
 //!
-//! The platform's rule: an engine in slow start falls over at more than a multiple of its present capacity
-//! over a window, counted over all gateways. Gateways don't coordinate, so each stays within a part of that
-//! budget.
+//! An engine in slow start fails if it receives more than a multiple of its current capacity within a window,
+//! summed over all gateways. Gateways do not coordinate, so each keeps to a share of that budget.
 
 use super::gateway_counts::GatewayCounts;
 use crate::interface::{ClassId, Settings};
@@ -10,34 +9,32 @@
 use crate::time::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
-/// Share of the rule's budget that requests may use; the rest is for other classes and for what is sent
-/// before an engine's start is known. 0.7 scored 0.763 over six days where 0.5 scored 0.757: no gain that
-/// shows.
-const BUDGET_SHARE: f64 = 0.5;
-/// Share of the rule's budget that is dealt out in even parts, where such a part holds a query: with the
-/// rule's usual figures three quarters of what the engine can do while it starts. Measured on the day of
-/// upgrades, two runs each: 0.2 scored 0.700 and 0.717, 0.3 scored 0.763 and 0.795, 0.4 scored 0.790 and
-/// 0.735.
-const EVEN_SHARE: f64 = 0.3;
-/// Share of the warm-up that is counted on: the engine's own clock may lag.
-const WARM_UP_CERTAINTY: f64 = 0.9;
-/// Weight of the latest control period in the rate of work that is sent to warm engines: two thirds of the
-/// rate come from the last three.
-const RATE_WEIGHT: f64 = 0.3;
-/// A warm-up from which on an engine is no longer in slow start.
-const WARM: f64 = 1.0;
-
-/// The usual query of a class that may be sent to an engine in slow start.
+/// Share of the slow-start budget that one class may use. The rest is left for other classes and for work
+/// sent before the start of an engine is known.
+const CLASS_BUDGET_SHARE: f64 = 0.5;
+/// Share of the slow-start budget that is split equally among the gateways, which matters where an equal
+/// share holds a query. With the usual overload multiple the shares add up to three quarters of what the
+/// engine can do while it starts.
+const EQUAL_SPLIT_SHARE: f64 = 0.3;
+/// Safety factor on the estimated warm-up, because the engine's own clock may lag.
+const WARM_UP_SAFETY_FACTOR: f64 = 0.9;
+/// Weight of the latest control period in the smoothed rate of work sent to warm engines. The last three
+/// periods make up two thirds of the rate.
+const RATE_SMOOTHING_WEIGHT: f64 = 0.3;
+/// Warm-up from which on an engine is no longer in slow start, as a share of its capacity.
+const WARM_THRESHOLD: f64 = 1.0;
+
+/// A typical query of a class that may be sent to an engine in slow start.
 pub(crate) struct SlowStartQuery {
-    /// Its class.
+    /// Class of the query.
     pub(crate) class: ClassId,
-    /// Its usual work, in microseconds on one thread.
+    /// Typical work of the class, in microseconds on one thread.
     pub(crate) work_us: f64,
 }
 
-/// The slow start of one engine.
+/// Slow-start state of one engine.
 #[derive(Default)]
-pub(crate) struct SlowStartWindow {
+pub(crate) struct SlowStartState {
     started_at: Option<Timestamp>,
     sends: VecDeque<SentWork>,
 }
@@ -48,18 +45,18 @@
     work_us: f64,
 }
 
-impl SlowStartWindow {
-    /// The engine has started; an earlier start is forgotten.
+impl SlowStartState {
+    /// Sets the start of the engine and replaces an earlier one.
     pub(crate) fn set_started(&mut self, at: Timestamp) {
         self.started_at = Some(at);
     }
 
-    /// Other gateways know of a start; the latest counts.
-    pub(crate) fn set_restarted(&mut self, at: Timestamp) {
+    /// Takes in a start that other gateways report. The latest known start counts.
+    pub(crate) fn record_reported_restart(&mut self, at: Timestamp) {
         self.started_at = self.started_at.max(Some(at));
     }
 
-    /// Work was sent to the engine.
+    /// Records work sent to the engine.
     fn record_send(&mut self, at: Timestamp, work_us: f64) {
         self.sends.push_back(SentWork { at, work_us });
     }
@@ -69,30 +66,30 @@
         self.sends.iter().filter(|sent| sent.at > since).map(|sent| sent.work_us).sum()
     }
 
-    /// Forgets work sent at an instant or before.
+    /// Drops work sent at or before an instant.
     pub(crate) fn expire(&mut self, until: Timestamp) {
         self.sends.retain(|sent| sent.at > until);
     }
 }
 
-/// The rule of slow start, and the rate of work that this gateway usually sends to a warm engine.
+/// The slow-start rule, and the rate of work that this gateway typically sends to a warm engine.
 pub(crate) struct SlowStart {
-    /// Share of its capacity that an engine has at its start.
+    /// Share of its capacity that an engine has when it starts.
     initial_share: f64,
     duration: TimeSpan,
     overload_multiple: f64,
     window: TimeSpan,
-    /// Seed of the draw; different for each gateway.
+    /// Seed of the random admission; different for each gateway.
     seed: u64,
-    /// Work that this gateway sends to each warm engine, in microseconds of one thread a microsecond, as a
-    /// rough mean.
-    warm_rate: f64,
+    /// Smoothed rate of work that this gateway sends to each warm engine, in microseconds on one thread per
+    /// microsecond.
+    warm_engine_rate: f64,
     /// Work sent to all warm engines in this control period, in microseconds on one thread.
-    warm_work_us: f64,
+    warm_engine_work_us: f64,
 }
 
 impl SlowStart {
-    /// The rule by the settings; no work was sent yet.
+    /// Creates the rule from the settings, with an empty history.
     pub(crate) fn new(settings: &Settings, seed: u64) -> Self {
         let rules = &settings.rules;
         Self {
@@ -101,54 +98,55 @@
             overload_multiple: rules.overload_multiple,
             window: rules.overload_window.into(),
             seed,
-            warm_rate: 0.0,
-            warm_work_us: 0.0,
+            warm_engine_rate: 0.0,
+            warm_engine_work_us: 0.0,
         }
     }
 
-    /// Window of the rule.
+    /// Window of the slow-start rule.
     pub(crate) fn window(&self) -> TimeSpan {
         self.window
     }
 
-    /// Share of its capacity that an engine surely has: it rises evenly from the rule's initial share to 1
-    /// over the rule's duration, of which 0.9 is counted on. 1 for an engine not in slow start.
-    pub(crate) fn warm_up(&self, engine: &SlowStartWindow, now: Timestamp) -> f64 {
-        let Some(started_at) = engine.started_at else { return WARM };
+    /// Share of its capacity that an engine is sure to have. It rises linearly from the initial share towards
+    /// 1 over the configured duration, with a safety factor of 0.9 on the increase. It is 1 for an engine not
+    /// in slow start.
+    pub(crate) fn warm_up(&self, engine: &SlowStartState, now: Timestamp) -> f64 {
+        let Some(started_at) = engine.started_at else { return WARM_THRESHOLD };
         let duration = self.duration.max(TimeSpan::MICROSECOND);
         let elapsed = (now - started_at).as_micros_f64() / duration.as_micros_f64();
         if elapsed >= 1.0 {
-            return WARM;
+            return WARM_THRESHOLD;
         }
-        self.initial_share + (1.0 - self.initial_share) * elapsed.max(0.0) * WARM_UP_CERTAINTY
+        self.initial_share + (1.0 - self.initial_share) * elapsed.max(0.0) * WARM_UP_SAFETY_FACTOR
     }
 
     /// Whether an engine is not in slow start.
-    pub(crate) fn is_warm(&self, engine: &SlowStartWindow, now: Timestamp) -> bool {
-        self.warm_up(engine, now) >= WARM
+    pub(crate) fn is_warm(&self, engine: &SlowStartState, now: Timestamp) -> bool {
+        self.warm_up(engine, now) >= WARM_THRESHOLD
     }
 
-    /// Whether the slow-start budget of an engine has capacity for a class's usual query. Always for a warm
-    /// engine.
+    /// Whether the slow-start budget of an engine has capacity for a typical query of a class. Always true
+    /// for a warm engine.
     ///
-    /// An engine in slow start gets so little of this gateway's usual work in the rule's window that the
-    /// parts of all gateways together keep to the budget, chance included. With `c` cores, a window `w`, a
-    /// warm-up `u`, a query's work `q` and the rule's multiple `m`:
+    /// Each gateway limits its work per window to a share so small that all gateways together stay within the
+    /// budget, including random variation. With `c` cores, a window `w`, a warm-up `u`, a query's work `q`
+    /// and the overload multiple `m`:
     ///
     /// - the budget holds `b = 0.5 m u c w / q` queries;
-    /// - sends of many gateways are as good as independent, so their number has a standard deviation of the
-    ///   root of its mean `n`; the largest `n` with `n + 3 sqrt(n) + 1 <= b` is
-    ///   `((sqrt(5 + 4 b) - 3) / 2)^2`, and nothing below `b = 1`;
-    /// - this gateway's part is the share `n q / (c w)` of the work that it usually sends to a warm engine in
-    ///   a window (an even part of the engine before it has sent any);
-    /// - where that is below one query, a seeded draw for each window lets one through with the probability
-    ///   `part / q`, so that the mean is right;
-    /// - few gateways need no chance: even parts of `0.3 m u c w / gateways` keep to the budget however
-    ///   traffic falls, and the larger of both parts counts.
+    /// - sends of many gateways are nearly independent, so the standard deviation of their number is the
+    ///   square root of its mean `n`; the largest `n` with `n + 3 sqrt(n) + 1 <= b` is
+    ///   `((sqrt(5 + 4 b) - 3) / 2)^2`, and zero below `b = 1`;
+    /// - this gateway may send the share `n q / (c w)` of the work that it typically sends to a warm engine
+    ///   in a window (of an equal share of the engine's capacity before it has sent any);
+    /// - where that is below one query, a seeded random number per window admits one query with the
+    ///   probability `traffic share / q`, so that the mean is right;
+    /// - few gateways need no random admission: equal shares of `0.3 m u c w / gateways` stay within the
+    ///   budget however traffic is distributed, and the larger of both shares applies.
     ///
-    /// Acts on engines that have just started, for any number of gateways and also when many engines come
-    /// back at once. Costs answers where most engines have just started. Not in the design, which leaves
-    /// guards to this program.
+    /// Covers any number of gateways and many engines that restart at once. The drawback is fewer answered
+    /// requests where most engines have just started. This algorithm is an addition to the product's design,
+    /// which leaves such safeguards to the implementation.
     pub(crate) fn admits(
         &self,
         query: &SlowStartQuery,
@@ -157,63 +155,70 @@
         now: Timestamp,
     ) -> bool {
         let warm_up = self.warm_up(&engine.slow_start, now);
-        if warm_up >= WARM {
+        if warm_up >= WARM_THRESHOLD {
             return true;
         }
         let window = self.window.max(TimeSpan::MICROSECOND);
         let window_us = window.as_micros_f64();
         let query_us = query.work_us;
         let full_capacity_us = engine.cores * window_us;
-        let even_rate = engine.cores / gateways.configured();
-        let usual_rate = if self.warm_rate > 0.0 { self.warm_rate } else { even_rate };
-        let budget_queries = BUDGET_SHARE * self.overload_multiple * warm_up * full_capacity_us / query_us;
-        let usual_part_us =
-            usual_rate * window_us * mean_queries(budget_queries) * query_us / full_capacity_us;
-        let even_part_us = EVEN_SHARE * self.overload_multiple * warm_up * even_rate * window_us;
+        let equal_rate = engine.cores / gateways.configured();
+        let typical_rate = if self.warm_engine_rate > 0.0 { self.warm_engine_rate } else { equal_rate };
+        let budget_queries =
+            CLASS_BUDGET_SHARE * self.overload_multiple * warm_up * full_capacity_us / query_us;
+        let traffic_share_us =
+            typical_rate * window_us * max_mean_queries(budget_queries) * query_us / full_capacity_us;
+        let equal_share_us = EQUAL_SPLIT_SHARE * self.overload_multiple * warm_up * equal_rate * window_us;
         let sent_us = engine.slow_start.work_sent_after_us(now - window);
-        let is_unused = sent_us == 0.0 && engine.attempts.in_flight() == 0;
-        sent_us + query_us <= usual_part_us.max(even_part_us)
-            || is_unused && self.draw(engine, query.class, window, now) * query_us < usual_part_us
+        let is_idle = sent_us == 0.0 && engine.attempts.in_flight() == 0;
+        sent_us + query_us <= traffic_share_us.max(equal_share_us)
+            || is_idle && self.random_fraction(engine, query.class, window, now) * query_us < traffic_share_us
     }
 
-    /// A number from 0 to 1 for each window, engine and class, different for each gateway. The windows of the
-    /// gateways begin at different times.
-    fn draw(&self, engine: &EngineRecord, class: ClassId, window: TimeSpan, now: Timestamp) -> f64 {
+    /// Pseudorandom number from 0 to 1 per window, engine and class, different for each gateway. The windows
+    /// of the gateways begin at different times.
+    fn random_fraction(
+        &self,
+        engine: &EngineRecord,
+        class: ClassId,
+        window: TimeSpan,
+        now: Timestamp,
+    ) -> f64 {
         let offset = TimeSpan::from_micros((self.seed % window.as_micros() as u64) as i64);
         let window_number = (now + offset).span_number(window);
         let engine_and_class = mix(u64::from(engine.entry.engine.0) << 8 | class.0 as u64);
         mix(self.seed ^ mix(window_number) ^ engine_and_class) as f64 / u64::MAX as f64
     }
 
-    /// A class's usual work is sent to an engine: it counts towards the usual rate if the engine is warm, and
-    /// towards the engine's budget if it is in slow start.
-    pub(crate) fn record_send(&mut self, engine: &mut SlowStartWindow, work_us: f64, now: Timestamp) {
+    /// Records a typical query of a class that is sent to an engine: towards the typical rate if the engine
+    /// is warm, and towards its budget if it is in slow start.
+    pub(crate) fn record_send(&mut self, engine: &mut SlowStartState, work_us: f64, now: Timestamp) {
         if self.is_warm(engine, now) {
-            self.warm_work_us += work_us;
+            self.warm_engine_work_us += work_us;
         } else {
             engine.record_send(now, work_us);
         }
     }
 
-    /// This process's share of the gateway's capacity has changed by a factor.
+    /// Scales the typical rate after a change of this process's share of the gateway's capacity.
     pub(crate) fn scale_rate(&mut self, factor: f64) {
-        self.warm_rate *= factor;
+        self.warm_engine_rate *= factor;
     }
 
-    /// Ends a control period, in the end of which so many engines were warm.
+    /// Ends a control period with this number of warm engines at its end.
     pub(crate) fn end_period(&mut self, warm_engines: usize, period: TimeSpan) {
         if warm_engines > 0 {
-            let rate = self.warm_work_us / warm_engines as f64 / period.as_micros_f64();
-            let weight = if self.warm_rate == 0.0 { 1.0 } else { RATE_WEIGHT };
-            self.warm_rate += (rate - self.warm_rate) * weight;
+            let rate = self.warm_engine_work_us / warm_engines as f64 / period.as_micros_f64();
+            let weight = if self.warm_engine_rate == 0.0 { 1.0 } else { RATE_SMOOTHING_WEIGHT };
+            self.warm_engine_rate += (rate - self.warm_engine_rate) * weight;
         }
-        self.warm_work_us = 0.0;
+        self.warm_engine_work_us = 0.0;
     }
 }
 
-/// Mean number of queries that, with three standard deviations of chance and one query more, is still within
-/// a budget.
-fn mean_queries(budget_queries: f64) -> f64 {
+/// Largest mean number of queries that stays within a budget with three standard deviations of random
+/// variation and one more query.
+fn max_mean_queries(budget_queries: f64) -> f64 {
     if budget_queries > 1.0 {
         (((5.0 + 4.0 * budget_queries).sqrt() - 3.0) / 2.0).max(0.0).powi(2)
     } else {
--- a/src/scheduler/events.rs
+++ b/src/scheduler/events.rs
@@ -21,7 +21,7 @@
             }
             Event::EngineRestarted { engine, started } => {
                 if let Some(engine) = self.engines.get_mut(*engine) {
-                    engine.slow_start.set_restarted(Timestamp::from(*started).min(self.now));
+                    engine.slow_start.record_reported_restart(Timestamp::from(*started).min(self.now));
                 }
             }
             Event::SlowdownObserved { engine, slowdown } => {
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -6,7 +6,7 @@
 use crate::policy::gateway_counts::GatewayCounts;
 use crate::policy::load_evidence::{LoadEvidence, ObservedSlowdown};
 use crate::policy::outlier_detection::EngineHealth;
-use crate::policy::slow_start::SlowStartWindow;
+use crate::policy::slow_start::SlowStartState;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -30,7 +30,7 @@
     /// Whether it is ejected, paused or on probation.
     pub(crate) health: EngineHealth,
     /// Its slow start.
-    pub(crate) slow_start: SlowStartWindow,
+    pub(crate) slow_start: SlowStartState,
 }
 
 /// What a record of an engine starts with.
@@ -55,7 +55,7 @@
             load: LoadEvidence::new(defaults.classes),
             slowdown: ObservedSlowdown::default(),
             health: EngineHealth::default(),
-            slow_start: SlowStartWindow::default(),
+            slow_start: SlowStartState::default(),
         }
     }
 
