--- a/src/policy/resource_grants.rs
+++ b/src/policy/resource_grants.rs
@@ -1,4 +1,4 @@
-//! Resource grants: the memory and the priority that an attempt gets at its engine.
+//! Resource grants: the memory and the priority of an attempt at its engine.
 
 use super::class_estimates::ClassEstimates;
 use crate::interface::{ClassId, Settings};
@@ -9,25 +9,26 @@
 pub(crate) struct Priority(pub(crate) u8);
 
 impl Priority {
-    /// Of abandoned work.
+    /// For abandoned attempts, whose client has disconnected.
     pub(crate) const LOWEST: Self = Self(0);
-    /// Until another is granted.
-    pub(crate) const USUAL: Self = Self(1);
-    /// Of the class of the highest value density, and of bulk loads.
+    /// For attempts without another grant.
+    pub(crate) const DEFAULT: Self = Self(1);
+    /// For the class with the highest value density, and for bulk loads.
     const HIGH: Self = Self(2);
 }
 
-/// What a request's next attempt is granted.
+/// Resources granted to a request's next attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ResourceGrant {
-    /// In MB; `None` leaves it to the engine.
+    /// Memory in MB; `None` leaves it to the engine.
     pub(crate) memory_mb: Option<f64>,
-    /// Its priority.
+    /// Priority at the engine.
     pub(crate) priority: Priority,
 }
 
-/// The grant for a request's next attempt, if it differs from the one before. Memory is the request's own
-/// estimate (1 MB without one) times what the class's queries use over their estimates.
+/// Returns the grant for a request's next attempt, or `None` if it does not differ from the previous one.
+/// Memory is the request's own estimate (1 MB without one) times the ratio of used to estimated memory of its
+/// class.
 pub(crate) fn next_grant(
     request: &RequestRecord,
     settings: &Settings,
@@ -40,21 +41,22 @@
         estimate_mb * factor
     });
     let uses_priorities = settings.engine.priorities;
-    let priority = if uses_priorities { class_priority(class, settings, estimates) } else { Priority::USUAL };
+    let priority =
+        if uses_priorities { class_priority(class, settings, estimates) } else { Priority::DEFAULT };
     let is_changed = memory_mb.is_some() || priority != request.priority;
     is_changed.then_some(ResourceGrant { memory_mb, priority })
 }
 
-/// Classes of the highest value density go first on cores that are short, once engines have reported the work
-/// of queries; so do bulk loads, which hold up others while they run. The rest keep the usual priority.
+/// Classes with the highest value density get CPU time first when cores are scarce, once engines have
+/// reported the work of queries. So do bulk loads, because they block other queries while they run.
 fn class_priority(class: ClassId, settings: &Settings, estimates: &ClassEstimates) -> Priority {
-    let is_first = estimates.has_reported_work() && estimates.has_max_value_density(class);
-    if settings.classes[class.0].is_load || is_first { Priority::HIGH } else { Priority::USUAL }
+    let is_most_valuable = estimates.has_reported_work() && estimates.has_max_value_density(class);
+    if settings.classes[class.0].is_load || is_most_valuable { Priority::HIGH } else { Priority::DEFAULT }
 }
 
-/// Whether an attempt whose client has gone goes on at the lowest priority: where priorities are respected
-/// and it cannot be cancelled. Guards against congestion by abandoned work.
-pub(crate) fn is_demoted(request: &RequestRecord, settings: &Settings) -> bool {
+/// Whether an attempt whose client has disconnected should continue at the lowest priority: engines respect
+/// priorities and the attempt cannot be cancelled. Guards against congestion by abandoned work.
+pub(crate) fn should_demote(request: &RequestRecord, settings: &Settings) -> bool {
     let can_only_demote = settings.engine.priorities && !settings.limits.cancel;
     can_only_demote && request.in_flight.is_some() && request.priority > Priority::LOWEST
 }
--- a/src/policy/resource_grants/tests.rs
+++ b/src/policy/resource_grants/tests.rs
@@ -1,4 +1,4 @@
-//! Memory and priority of attempts.
+//! Tests of the memory and the priority granted to attempts.
 
 use super::*;
 use crate::interface::{EngineId, ResourceUsage};
@@ -43,7 +43,7 @@
     let grant = next_grant(&next, &settings, &estimates).expect("a grant");
     assert_eq!(grant, ResourceGrant { memory_mb: None, priority: Priority::HIGH });
     next.priority = grant.priority;
-    assert_eq!(next_grant(&next, &settings, &estimates), None, "it has it already");
+    assert_eq!(next_grant(&next, &settings, &estimates), None, "the priority is already granted");
     assert_eq!(next_grant(&request(2, 1), &settings, &estimates), None);
 }
 
@@ -52,11 +52,11 @@
     let mut settings = settings();
     settings.engine.priorities = true;
     let mut running = request(1, 0);
-    assert!(!is_demoted(&running, &settings), "nothing is in flight");
+    assert!(!should_demote(&running, &settings), "nothing is in flight");
     running.in_flight = Some(InFlightAttempt::new(EngineId(0), 0, at_ms(0)));
-    assert!(is_demoted(&running, &settings));
+    assert!(should_demote(&running, &settings));
     settings.limits.cancel = true;
-    assert!(!is_demoted(&running, &settings));
+    assert!(!should_demote(&running, &settings));
 }
 
 #[test]
--- a/src/scheduler/answers.rs
+++ b/src/scheduler/answers.rs
@@ -3,7 +3,7 @@
 use super::Scheduler;
 use crate::interface::{Action, AttemptNo, RequestId};
 use crate::policy::load_shedding::may_reject;
-use crate::policy::resource_grants::{Priority, is_demoted};
+use crate::policy::resource_grants::{Priority, should_demote};
 
 impl Scheduler {
     /// Ends a request: rejected where a retry is harmless, failed otherwise.
@@ -39,7 +39,7 @@
     /// Abandoned work that cannot be cancelled goes on at the lowest priority, where engines respect one.
     pub(super) fn demote_abandoned(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        if is_demoted(request, &self.settings) {
+        if should_demote(request, &self.settings) {
             request.priority = Priority::LOWEST;
             let priority = Priority::LOWEST.0;
             actions.push(Action::GrantResources { request: id, memory_mb: None, priority });
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -86,7 +86,7 @@
             possible_run: None,
             last_engine: None,
             bad_plan_time_us: None,
-            priority: Priority::USUAL,
+            priority: Priority::DEFAULT,
             had_error: false,
         }
     }
