--- a/src/policy/concurrency_limits.rs
+++ b/src/policy/concurrency_limits.rs
@@ -1,10 +1,10 @@
 //! Concurrency limits: how many threads this gateway may use on an engine under pressure, and when an engine
-//! is.
+//! counts as under pressure.
 //!
-//! The design's form of the paper's multi-programming limit (section 6.1): a limit of running threads at each
-//! engine, multiplied by 1/f when a class's mean there runs at f > 1 times its objective, and raised by a
-//! quarter each second while it was reached and every class is within its objective. It binds only while the
-//! engine is under pressure.
+//! This is the design's form of the paper's multi-programming limit (section 6.1): each engine has a limit of
+//! running threads. It is multiplied by 1/f when the mean execution time of a class there is f > 1 times its
+//! objective, and raised by a quarter each second if it was reached and every class is within its objective.
+//! It binds only while the engine is under pressure.
 
 use super::gateway_counts::GatewayCounts;
 use super::load_evidence::LoadEvidence;
@@ -12,82 +12,82 @@
 use crate::state::{EngineRecord, EngineTable};
 use crate::time::{TimeSpan, Timestamp};
 
-/// The design's limit at the start, in threads a core over all gateways.
-const START_THREADS_PER_CORE: f64 = 1.5;
-/// The design's lowest limit, in threads a core over all gateways.
+/// Initial limit of the design, in threads per core over all gateways.
+const INITIAL_THREADS_PER_CORE: f64 = 1.5;
+/// Lowest limit of the design, in threads per core over all gateways.
 const MIN_THREADS_PER_CORE: f64 = 0.5;
-/// The design's raise, a factor a control period.
+/// Factor by which the design raises a limit per control period.
 const RAISE_FACTOR: f64 = 1.25;
-/// Mean reported share of an engine's scarcest resource from which on it is under pressure, where no
-/// latencies tell: 0.6 is an ordinary day, so latencies come first. With 0.75 in their place the score was
-/// 0.56 (0.61).
-const BUSY_UTILIZATION: f64 = 0.6;
-/// Attempts in flight whose mean age may show pressure.
-const MIN_IN_FLIGHT: f64 = 3.0;
-/// Mean age of the attempts in flight over best time from which on an engine is under pressure: they have not
-/// completed yet, and the young ones among them lower the mean.
-const PRESSURE_AGE: f64 = 2.0 * PRESSURE_SLOWDOWN;
-/// How long an engine that has rejected an attempt counts as under pressure.
+/// Mean reported utilization of an engine's scarcest resource above which it is under pressure, if there are
+/// no latency samples. Latencies take precedence because a utilization of 0.6 is normal in daily operation.
+const PRESSURE_UTILIZATION: f64 = 0.6;
+/// Minimum number of attempts in flight for their mean age to indicate pressure.
+const MIN_IN_FLIGHT_SAMPLES: f64 = 3.0;
+/// Mean age of the attempts in flight over the unloaded time of their class above which an engine is under
+/// pressure. Unlike completions, these attempts are still running, and the most recent ones lower the mean.
+const PRESSURE_AGE_RATIO: f64 = 2.0 * PRESSURE_SLOWDOWN;
+/// How long an engine counts as under pressure after it has rejected an attempt.
 const FULL_TTL: TimeSpan = CONTROL_PERIOD;
 
-/// The limit of one engine.
+/// Concurrency limit of one engine.
 #[derive(Default)]
 pub(crate) struct ConcurrencyLimit {
     threads: f64,
-    /// A request found no capacity under the limit in this control period.
+    /// Whether a request found no capacity under the limit in this control period.
     is_reached: bool,
-    /// The engine showed pressure in the latest round of housekeeping.
+    /// Whether the engine showed pressure in the latest round of housekeeping.
     shows_pressure: bool,
-    /// It showed pressure then, or has since the limit was reached.
+    /// Whether the engine counts as under pressure: it showed pressure in this control period, or before and
+    /// the limit was reached in every period since.
     is_under_pressure: bool,
-    /// It has rejected an attempt as it is full: pressure until then.
+    /// End of the time for which the engine counts as full because it has rejected an attempt.
     full_until: Timestamp,
 }
 
 impl ConcurrencyLimit {
-    /// The design's limit at the start: this gateway's part of 1.5 threads a core.
+    /// Initial limit of the design: this gateway's share of 1.5 threads per core.
     pub(crate) fn initial(cores: f64, gateways: &GatewayCounts) -> Self {
-        Self { threads: gateways.threads(START_THREADS_PER_CORE, cores), ..Self::default() }
+        Self { threads: gateways.thread_share(INITIAL_THREADS_PER_CORE, cores), ..Self::default() }
     }
 
-    /// Threads that this gateway may use on the engine while it is under pressure.
+    /// Number of threads that this gateway may use on the engine while it is under pressure.
     pub(crate) fn threads(&self) -> f64 {
         self.threads
     }
 
-    /// Whether so many more threads exceed the limit beside those in use.
+    /// Whether a query with `query_threads` threads would exceed the limit, given the threads in use.
     pub(crate) fn is_exceeded_by(&self, threads_in_use: f64, query_threads: f64) -> bool {
         threads_in_use + query_threads > self.threads
     }
 
-    /// A request found no capacity under the limit, so it may be raised.
+    /// Records that a request found no capacity under the limit, so that the limit may be raised.
     pub(crate) fn mark_reached(&mut self) {
         self.is_reached = true;
     }
 
-    /// The engine has rejected an attempt as it is full.
+    /// Records that the engine has rejected an attempt because it is full.
     pub(crate) fn mark_full(&mut self, now: Timestamp) {
         self.full_until = now + FULL_TTL;
     }
 
-    /// This gateway's part of the pool has changed by a factor.
+    /// Scales the limit after a change of this gateway's share of the pool.
     pub(crate) fn scale(&mut self, factor: f64) {
         self.threads *= factor;
     }
 
-    /// Takes in whether the engine shows pressure. Pressure lasts while the limit is reached: ended at once,
-    /// all requests that wait would be sent together.
+    /// Records whether the engine shows pressure. While the limit is reached, the engine stays under
+    /// pressure: if that ended at once, all waiting requests would be sent together.
     fn update_pressure(&mut self, shows_pressure: bool) {
         self.shows_pressure = shows_pressure;
         self.is_under_pressure |= shows_pressure;
     }
 
-    /// One cut a control period, by the largest f of all classes and not below the floor; or a raise by a
-    /// quarter, while the limit was reached, all classes are within their objectives and the engine shows no
-    /// pressure.
-    fn adjust(&mut self, assessment: &LoadAssessment, floor_threads: f64) {
-        if assessment.over_objective > 1.0 {
-            self.threads = (self.threads / assessment.over_objective).max(floor_threads);
+    /// Adjusts the limit once per control period. Cuts it by the largest f of all classes, but not below
+    /// `min_threads`; or raises it by a quarter if it was reached, all classes are within their objectives
+    /// and the engine shows no pressure.
+    fn adjust(&mut self, assessment: &LoadAssessment, min_threads: f64) {
+        if assessment.objective_ratio > 1.0 {
+            self.threads = (self.threads / assessment.objective_ratio).max(min_threads);
         } else if self.is_reached && assessment.is_within_objectives && !self.shows_pressure {
             self.threads *= RAISE_FACTOR;
         }
@@ -96,40 +96,41 @@
     }
 }
 
-/// What the latest evidence says of an engine's load.
+/// Load of an engine according to the latest evidence.
 struct LoadAssessment {
-    /// The design's f: the largest execution time over its objective of all classes.
-    over_objective: f64,
+    /// The design's f: the largest ratio of execution time to objective over all classes; or the ratio of the
+    /// slowdown to the pressure threshold, if that is larger.
+    objective_ratio: f64,
     is_within_objectives: bool,
 }
 
 impl LoadAssessment {
-    /// With too few samples of its own, those of the pool decide for an engine: one of many gateways never
-    /// gathers enough at each. Stretched objectives reach past the point where engines lose throughput,
-    /// so a slowdown over the pressure threshold counts as a miss as well.
+    /// Uses the pool's samples for an engine that has too few of its own: with many gateways, none of them
+    /// gathers enough for each engine. Stretched objectives extend beyond the point where engines lose
+    /// throughput, so a slowdown above the pressure threshold counts as a missed objective as well.
     fn new(engine: &LoadEvidence, pool: &LoadEvidence, classes: usize) -> Self {
-        let over_objective = |class| {
-            let engine_mean = engine.over_objective(class).get(MIN_SAMPLES);
-            engine_mean.or(pool.over_objective(class).get(MIN_SAMPLES))
+        let objective_ratio = |class| {
+            let engine_mean = engine.objective_ratio(class).get(MIN_SAMPLES);
+            engine_mean.or(pool.objective_ratio(class).get(MIN_SAMPLES))
         };
-        let over_pressure = |evidence: &LoadEvidence| {
+        let pressure_ratio = |evidence: &LoadEvidence| {
             let slowdown = evidence.slowdown_since_cut(MIN_SAMPLES / 2.0);
             slowdown.map(|slowdown| slowdown / PRESSURE_SLOWDOWN)
         };
-        let classes_over = (0..classes).filter_map(over_objective);
-        let largest = classes_over.chain(over_pressure(engine).or(over_pressure(pool))).fold(0.0, f64::max);
-        let is_within = |class| over_objective(class).unwrap_or(engine.over_objective(class).value) <= 1.0;
-        Self { over_objective: largest, is_within_objectives: (0..classes).all(is_within) }
+        let class_ratios = (0..classes).filter_map(objective_ratio);
+        let max_ratio =
+            class_ratios.chain(pressure_ratio(engine).or(pressure_ratio(pool))).fold(0.0, f64::max);
+        let is_within = |class| objective_ratio(class).unwrap_or(engine.objective_ratio(class).value) <= 1.0;
+        Self { objective_ratio: max_ratio, is_within_objectives: (0..classes).all(is_within) }
     }
 }
 
-/// The conditions under which the limits bind.
+/// Conditions under which the limits bind.
 pub(crate) struct PressureRule<'a> {
-    /// The pool's evidence.
+    /// Load evidence of the whole pool.
     pub(crate) pool: &'a LoadEvidence,
-    /// How many gateways share the pool.
+    /// Number of gateways that share the pool.
     pub(crate) gateways: &'a GatewayCounts,
-    /// Present time.
     pub(crate) now: Timestamp,
 }
 
@@ -139,24 +140,27 @@
         engine.limit.is_under_pressure || self.shows_pressure(engine)
     }
 
-    /// The design's condition for a limit to bind: latency far above best, or full. One of:
+    /// The design's condition for a limit to bind: latency far above the best one, or a full engine. Any of
+    /// the following:
     ///
-    /// - the engine has rejected an attempt within the last period;
-    /// - its mean slowdown is above 2; without enough samples the pool's is; without those either, the
-    ///   reported utilization is above 0.6;
-    /// - the attempts in flight there (or in the pool) are older than 4 best times in the mean;
-    /// - two or more own attempts use more threads than `1.5 cores / sqrt(gateways)`, between an even part
-    ///   and all: young attempts show no latency yet.
+    /// - The engine has rejected an attempt within the last control period.
+    /// - Its mean slowdown is above 2. With too few samples, the pool's mean slowdown is used; if that has
+    ///   too few as well, a reported utilization above 0.6.
+    /// - The mean age of the attempts in flight there (or else in the pool) is above 4 unloaded times.
+    /// - Two or more attempts of this gateway use more threads than `1.5 cores / sqrt(gateways)`, which lies
+    ///   between an even share and the whole engine. Recent attempts show no latency yet.
     fn shows_pressure(&self, engine: &EngineRecord) -> bool {
         let (load, pool) = (&engine.load, self.pool);
-        let max_threads = START_THREADS_PER_CORE * engine.cores / self.gateways.live().sqrt();
+        let max_threads = INITIAL_THREADS_PER_CORE * engine.cores / self.gateways.live().sqrt();
         let utilization = load.utilization(MIN_SAMPLES).or(pool.utilization(MIN_SAMPLES));
-        let is_busy = utilization.is_some_and(|share| share > BUSY_UTILIZATION);
+        let is_busy = utilization.is_some_and(|share| share > PRESSURE_UTILIZATION);
         let is_pool_slow = pool.slowdown(MIN_SAMPLES).map_or(is_busy, is_pressure);
-        let age = load.in_flight_age(MIN_IN_FLIGHT).or(pool.in_flight_age(MIN_IN_FLIGHT));
+        let age_ratio = load
+            .in_flight_age_ratio(MIN_IN_FLIGHT_SAMPLES)
+            .or(pool.in_flight_age_ratio(MIN_IN_FLIGHT_SAMPLES));
         engine.limit.full_until > self.now
             || load.slowdown(MIN_SAMPLES).map_or(is_pool_slow, is_pressure)
-            || age.is_some_and(|age| age > PRESSURE_AGE)
+            || age_ratio.is_some_and(|ratio| ratio > PRESSURE_AGE_RATIO)
             || engine.attempts.in_flight() > 1 && engine.attempts.threads() > max_threads
     }
 }
@@ -165,7 +169,7 @@
     slowdown > PRESSURE_SLOWDOWN
 }
 
-/// A round of housekeeping: looks which engines show pressure.
+/// Updates which engines show pressure, in each round of housekeeping.
 pub(crate) fn update_pressure(engines: &mut EngineTable, rule: &PressureRule) {
     for engine in engines.values_mut() {
         let shows_pressure = rule.shows_pressure(engine);
@@ -173,7 +177,7 @@
     }
 }
 
-/// Ends a control period: adjusts the limits of all engines by their evidence, and lets that fade.
+/// Ends a control period: adjusts the limits of all engines by their evidence, then decays the evidence.
 pub(crate) fn end_period(
     engines: &mut EngineTable,
     pool: &mut LoadEvidence,
@@ -182,7 +186,7 @@
 ) {
     for engine in engines.values_mut() {
         let assessment = LoadAssessment::new(&engine.load, pool, classes);
-        engine.limit.adjust(&assessment, gateways.threads(MIN_THREADS_PER_CORE, engine.cores));
+        engine.limit.adjust(&assessment, gateways.thread_share(MIN_THREADS_PER_CORE, engine.cores));
         engine.load.end_period();
     }
     pool.end_period();
--- a/src/policy/engine_selection.rs
+++ b/src/policy/engine_selection.rs
@@ -111,7 +111,7 @@
         let class_id = request.arrival.class;
         let class = &context.settings.classes[class_id.0];
         let threads = f64::from(class.threads);
-        let work_us = context.estimates.usual_work_us(class_id);
+        let work_us = context.estimates.typical_work_us(class_id);
         Self {
             context,
             request,
--- a/src/policy/load_shedding/tests.rs
+++ b/src/policy/load_shedding/tests.rs
@@ -1,42 +1,42 @@
-//! Which requests are rejected in time, and which never.
+//! Which requests are rejected in time, and which are never rejected.
 
 use super::*;
 use crate::interface::EngineId;
 use crate::policy::tests::{at_ms, request, settings};
 use crate::state::{InFlightAttempt, PossibleRun};
 
-fn verdict(request: &RequestRecord, settings: &Settings, millis: i64) -> ReviewVerdict {
+fn decide(request: &RequestRecord, settings: &Settings, millis: i64) -> ReviewDecision {
     let estimates = ClassEstimates::new(settings);
-    let round = TimeSpan::from_millis(20);
-    RequestReview::new(settings, &estimates, round, false, at_ms(millis)).verdict(request)
+    let round_interval = TimeSpan::from_millis(20);
+    RequestReview::new(settings, &estimates, round_interval, false, at_ms(millis)).decide(request)
 }
 
 #[test]
 fn waiting_request_is_answered_after_most_of_its_wait() {
     let settings = settings();
-    // 0.7 of the 200 ms until its target; half of that for a client's own retry.
-    assert_eq!(verdict(&request(1, 0), &settings, 140), ReviewVerdict::Keep);
-    assert_eq!(verdict(&request(1, 0), &settings, 141), ReviewVerdict::Answer);
+    // 0.7 of the 200 ms until its dispatch target; half of that for a client's own retry.
+    assert_eq!(decide(&request(1, 0), &settings, 140), ReviewDecision::Keep);
+    assert_eq!(decide(&request(1, 0), &settings, 141), ReviewDecision::Answer);
     let mut client_retry = request(1, 0);
     client_retry.arrival.is_retry = true;
-    assert_eq!(verdict(&client_retry, &settings, 71), ReviewVerdict::Answer);
+    assert_eq!(decide(&client_retry, &settings, 71), ReviewDecision::Answer);
 }
 
 #[test]
-fn request_whose_target_has_passed_at_arrival_still_waits_a_while() {
+fn request_with_a_past_target_on_arrival_still_waits() {
     let mut late = request(1, 0);
     late.dispatch_target = at_ms(-500);
     // 0.7 of a quarter of the objective of 300 ms.
-    assert_eq!(verdict(&late, &settings(), 52), ReviewVerdict::Keep);
-    assert_eq!(verdict(&late, &settings(), 53), ReviewVerdict::Answer);
+    assert_eq!(decide(&late, &settings(), 52), ReviewDecision::Keep);
+    assert_eq!(decide(&late, &settings(), 53), ReviewDecision::Answer);
 }
 
 #[test]
 fn class_with_full_late_weight_waits_until_its_deadline() {
     let mut settings = settings();
     settings.classes[0].late_weight = 1.0;
-    assert_eq!(verdict(&request(1, 0), &settings, 2959), ReviewVerdict::Keep);
-    assert_eq!(verdict(&request(1, 0), &settings, 2960), ReviewVerdict::Answer);
+    assert_eq!(decide(&request(1, 0), &settings, 2959), ReviewDecision::Keep);
+    assert_eq!(decide(&request(1, 0), &settings, 2960), ReviewDecision::Answer);
 }
 
 #[test]
@@ -45,14 +45,14 @@
     settings.engine.progress_interval = Some(std::time::Duration::from_millis(200));
     let mut running = request(1, 0);
     running.in_flight = Some(InFlightAttempt::new(EngineId(0), 0, at_ms(0)));
-    assert_eq!(verdict(&running, &settings, 500), ReviewVerdict::Keep);
-    assert_eq!(verdict(&running, &settings, 501), ReviewVerdict::Retry, "its reports are missed");
-    assert_eq!(verdict(&running, &settings, 2960), ReviewVerdict::Demote);
-    assert_eq!(verdict(&running, &settings, 3006), ReviewVerdict::Answer);
+    assert_eq!(decide(&running, &settings, 500), ReviewDecision::Keep);
+    assert_eq!(decide(&running, &settings, 501), ReviewDecision::Retry, "its progress reports are missing");
+    assert_eq!(decide(&running, &settings, 2960), ReviewDecision::Demote);
+    assert_eq!(decide(&running, &settings, 3006), ReviewDecision::Answer);
 }
 
 #[test]
-fn request_that_may_have_run_is_rejected_only_where_a_retry_is_harmless() {
+fn request_that_may_have_run_is_rejected_only_if_a_retry_is_harmless() {
     let mut may_have_run = request(1, 0);
     may_have_run.possible_run = Some(PossibleRun { group: Some(1), sent: at_ms(0) });
     let keyed = |scope| Idempotency::Keyed { scope, window: std::time::Duration::from_secs(1) };
--- a/src/policy/retry_policy.rs
+++ b/src/policy/retry_policy.rs
@@ -267,10 +267,10 @@
 /// that misses them is lost, wherever it is.
 pub(crate) fn is_lost(
     attempt: &InFlightAttempt,
-    missed_reports_after: Option<TimeSpan>,
+    progress_report_timeout: Option<TimeSpan>,
     now: Timestamp,
 ) -> bool {
-    missed_reports_after.is_some_and(|limit| now - attempt.last_response > limit)
+    progress_report_timeout.is_some_and(|limit| now - attempt.last_response > limit)
 }
 
 #[cfg(test)]
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -91,7 +91,7 @@
         request.attempts += 1;
         let settings = &self.settings.classes[class.0];
         engine.attempts.add(id, f64::from(settings.threads), settings.is_load, self.now);
-        let work_us = self.estimates.usual_work_us(class);
+        let work_us = self.estimates.typical_work_us(class);
         self.slow_start.record_send(&mut engine.slow_start, work_us, self.now);
         actions.push(Action::Send { request: id, engine: to, timeout: None });
     }
--- a/src/scheduler/periodic.rs
+++ b/src/scheduler/periodic.rs
@@ -4,7 +4,7 @@
 use crate::interface::{Action, EngineId};
 use crate::policy::concurrency_limits::{self, PressureRule};
 use crate::policy::load_evidence::InFlightSurvey;
-use crate::policy::load_shedding::{RequestReview, ReviewVerdict};
+use crate::policy::load_shedding::{RequestReview, ReviewDecision};
 use crate::policy::{CONTROL_PERIOD, outlier_detection};
 use crate::time::TimeSpan;
 
@@ -92,11 +92,11 @@
         let review = RequestReview::new(&self.settings, &self.estimates, interval, was_stalled, self.now);
         let (mut to_retry, mut to_demote, mut to_answer) = (Vec::new(), Vec::new(), Vec::new());
         for (id, request) in self.requests.iter().filter(|(_, request)| !request.streaming) {
-            match review.verdict(request) {
-                ReviewVerdict::Keep => {}
-                ReviewVerdict::Retry => to_retry.push(id),
-                ReviewVerdict::Demote => to_demote.push(id),
-                ReviewVerdict::Answer => to_answer.push(id),
+            match review.decide(request) {
+                ReviewDecision::Keep => {}
+                ReviewDecision::Retry => to_retry.push(id),
+                ReviewDecision::Demote => to_demote.push(id),
+                ReviewDecision::Answer => to_answer.push(id),
             }
         }
         for id in to_retry {
