--- a/src/policy/dispatch_queue.rs
+++ b/src/policy/dispatch_queue.rs
@@ -1,84 +1,83 @@
-//! Dispatch queue: the requests that wait, and the order in which they are sent.
+//! Dispatch queue: the requests that wait to be sent, and the order in which they are sent.
 //!
-//! The design (paper, section 4.2): a request of class i that arrives at `t_a` has the dispatch target
-//! `t_a + objective_i - T_i`, the latest moment at which it can be sent and still meet its objective, with
-//! the mean execution time `T_i`. Requests leave in rising target order. Late requests go first, those of the
-//! highest priority weight leading (the design's own rule, for the paper's class priority).
+//! By the design (paper, section 4.2), a request of class i that arrives at `t_a` has the dispatch target
+//! `t_a + objective_i - T_i`, where `T_i` is the mean execution time of the class: the latest time at which
+//! it can be sent and still meet its objective. Requests are sent in ascending order of their targets. Late
+//! requests go first, by descending priority weight (a rule of the design, for the paper's class priority).
 
 use crate::interface::{ClassId, KeyId, RequestId, Settings};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
 
-/// Place of a waiting request in its class's queue: by dispatch target, then in the order of arrival.
+/// Position of a waiting request in the queue of its class: by dispatch target, then in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueKey {
-    /// The request's dispatch target.
+    /// Dispatch target of the request.
     pub(crate) target: Timestamp,
-    /// Number of the request in the order of arrival.
+    /// Arrival number of the request.
     pub(crate) sequence: u64,
-    /// The request.
     pub(crate) request: RequestId,
 }
 
 impl QueueKey {
-    /// Before every request.
+    /// Sorts before every request.
     const START: Self = Self { target: Timestamp::MIN, sequence: 0, request: RequestId(0) };
 }
 
-/// The requests of one ordering key, in the order of arrival.
+/// Requests with the same ordering key, in order of arrival.
 #[derive(Default)]
 struct OrderingQueue {
     requests: VecDeque<RequestId>,
-    /// An attempt of a request before may still run until then.
-    settles_at: Timestamp,
+    /// An attempt of an earlier request may still run until this time.
+    blocked_until: Timestamp,
 }
 
-/// The queues of the classes, and those of the ordering keys.
+/// Queues of the classes and of the ordering keys.
 pub(crate) struct DispatchQueue {
-    /// For each class the requests that wait to be sent.
+    /// Requests that wait to be sent, by class.
     classes: Vec<BTreeSet<QueueKey>>,
-    /// Requests of each ordering key until they have ended, also while an attempt is in flight.
+    /// Requests of each ordering key until they have ended, including those with an attempt in flight.
     ordering: BTreeMap<KeyId, OrderingQueue>,
 }
 
 impl DispatchQueue {
-    /// Queues of so many classes; nothing waits.
+    /// Empty queues for the given number of classes.
     pub(crate) fn new(classes: usize) -> Self {
         Self { classes: vec![BTreeSet::new(); classes], ordering: BTreeMap::new() }
     }
 
-    /// A request waits to be sent.
+    /// Adds a request that waits to be sent.
     pub(crate) fn enqueue(&mut self, class: ClassId, key: QueueKey) {
         self.classes[class.0].insert(key);
     }
 
-    /// A request does not wait any more.
+    /// Removes a request that no longer waits.
     pub(crate) fn dequeue(&mut self, class: ClassId, key: &QueueKey) {
         self.classes[class.0].remove(key);
     }
 
-    /// A request of an ordering key has arrived.
-    pub(crate) fn add_to_order(&mut self, key: KeyId, request: RequestId) {
+    /// Appends a request that has arrived to the queue of its ordering key.
+    pub(crate) fn add_to_ordering_queue(&mut self, key: KeyId, request: RequestId) {
         self.ordering.entry(key).or_default().requests.push_back(request);
     }
 
-    /// A request of an ordering key has ended, and no attempt of it is in flight.
-    pub(crate) fn remove_from_order(&mut self, key: KeyId, request: RequestId) {
+    /// Removes a request from the queue of its ordering key once it has ended and has no attempt in flight.
+    pub(crate) fn remove_from_ordering_queue(&mut self, key: KeyId, request: RequestId) {
         if let Some(queue) = self.ordering.get_mut(&key) {
             queue.requests.retain(|waiting| *waiting != request);
         }
     }
 
-    /// An attempt of an ordering key may still run until then: nothing of the key follows before.
-    pub(crate) fn settle_order(&mut self, key: KeyId, until: Timestamp) {
+    /// Blocks later requests of an ordering key while an attempt of it may still run.
+    pub(crate) fn block_ordering_key(&mut self, key: KeyId, until: Timestamp) {
         if let Some(queue) = self.ordering.get_mut(&key) {
-            queue.settles_at = until;
+            queue.blocked_until = until;
         }
     }
 
-    /// Rule of order: a request may be sent if it is the first of its ordering key, and nothing before it may
-    /// still run; a retry follows on its own attempt.
+    /// Whether the ordering key allows a request to be sent: it is the first of its key, and no attempt of an
+    /// earlier request may still run. A retry does not wait for an earlier attempt of its own request.
     pub(crate) fn is_first_in_order(
         &self,
         key: Option<KeyId>,
@@ -87,55 +86,52 @@
         now: Timestamp,
     ) -> bool {
         let Some(queue) = key.and_then(|key| self.ordering.get(&key)) else { return true };
-        queue.requests.front() == Some(&request) && (is_retry || queue.settles_at <= now)
+        queue.requests.front() == Some(&request) && (is_retry || queue.blocked_until <= now)
     }
 
-    /// Forgets ordering keys with nothing left to wait for.
+    /// Removes ordering keys that have no requests and no longer block any.
     pub(crate) fn expire(&mut self, now: Timestamp) {
-        self.ordering.retain(|_, queue| !queue.requests.is_empty() || queue.settles_at > now);
+        self.ordering.retain(|_, queue| !queue.requests.is_empty() || queue.blocked_until > now);
     }
 
-    /// Number of things remembered.
+    /// Number of entries held.
     pub(crate) fn tracked(&self) -> usize {
         let waiting: usize = self.classes.iter().map(BTreeSet::len).sum();
         waiting + self.ordering.len()
     }
 
-    /// The next waiting request of a class.
+    /// Next waiting request of a class after a position.
     fn next_of_class(&self, class: usize, after: QueueKey) -> Option<QueueKey> {
         self.classes[class].range((Bound::Excluded(after), Bound::Unbounded)).next().copied()
     }
 }
 
-/// The first waiting request of a class that was not looked at yet.
+/// First waiting request of a class that the pass has not visited yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Candidate {
-    /// Its class.
     pub(crate) class: ClassId,
-    /// The request.
     pub(crate) request: RequestId,
     key: QueueKey,
     is_late: bool,
-    /// Its class's priority weight if it is late, else 0.
+    /// Priority weight of its class if it is late, else 0.
     priority_weight: f64,
 }
 
-/// One pass over the queues in the order of dispatch. Only the first requests of the classes' queues are
-/// looked at, so that a pass costs no more however many wait: 3.4 µs a request with 10 waiting, 4.0 with
-/// 1,000.
+/// One pass over the queues in dispatch order. Visits only the first requests of the queues, so that the cost
+/// of a pass hardly depends on the number of waiting requests.
 pub(crate) struct DispatchPass {
-    /// How far each class's queue was looked through; `None` once the class is closed.
+    /// Last request visited in the queue of each class; `None` once the class is closed.
     positions: Vec<Option<QueueKey>>,
 }
 
 impl DispatchPass {
-    /// A pass over the queues of so many classes.
+    /// Pass over the queues of the given number of classes.
     pub(crate) fn new(classes: usize) -> Self {
         Self { positions: vec![Some(QueueKey::START); classes] }
     }
 
-    /// The next request: late requests first, those of the highest weight leading; then in rising target
-    /// order.
+    /// Next request: late requests first, by descending priority weight; then in ascending order of the
+    /// dispatch targets.
     pub(crate) fn next(
         &mut self,
         queue: &DispatchQueue,
@@ -157,7 +153,8 @@
         Some(first)
     }
 
-    /// No engine has capacity for a class's first request, so there is none for those behind it.
+    /// Skips the remaining requests of a class: if no engine has capacity for its first one, none has for the
+    /// others.
     pub(crate) fn close_class(&mut self, class: ClassId) {
         self.positions[class.0] = None;
     }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -146,7 +146,7 @@
         request.sequence = self.next_sequence;
         self.next_sequence += 1;
         if in_order && let Some(key) = request.arrival.ordering_key {
-            self.queue.add_to_order(key, id);
+            self.queue.add_to_ordering_queue(key, id);
         }
         self.queue.enqueue(request.arrival.class, request.queue_key());
         self.open.insert(id, request);
@@ -198,7 +198,7 @@
         if request.in_flight.is_some() {
             self.orphans.insert(id, request);
         } else if let Some(key) = request.arrival.ordering_key {
-            self.queue.remove_from_order(key, id);
+            self.queue.remove_from_ordering_queue(key, id);
         }
     }
 
@@ -220,7 +220,7 @@
     /// An attempt of a request may still run until then: nothing of its ordering key follows before.
     pub(crate) fn settle_ordering_key(&mut self, request: &RequestRecord, until: Timestamp) {
         if let Some(key) = request.arrival.ordering_key {
-            self.queue.settle_order(key, until);
+            self.queue.block_ordering_key(key, until);
         }
     }
 
