--- a/src/policy/housekeeping.rs
+++ b/src/policy/housekeeping.rs
@@ -1,17 +1,17 @@
-//! Housekeeping: when the rounds of periodic work run, when a control period ends, whether this process was
-//! stalled, and when the endpoint list is subscribed to again.
+//! Housekeeping schedule: when rounds of periodic work are due, when a control period ends, whether this
+//! process was stalled, and when to subscribe to the endpoint list again.
 
 use super::CONTROL_PERIOD;
 use crate::interface::{Discovery, Settings};
 use crate::time::{TimeSpan, Timestamp};
 
-/// Time between two rounds in ticks: well inside the slack of a final answer.
-const ROUND_TICKS: i64 = 4;
-/// Shortest tick that rounds go by.
+/// Interval between two rounds in ticks: well within the time allowed for a final answer.
+const TICKS_PER_ROUND: i64 = 4;
+/// Shortest tick that the interval is based on.
 const MIN_TICK: TimeSpan = TimeSpan::from_millis(1);
-/// A round that is overdue by more than this shows that the process itself was stalled.
+/// Delay of a round above which the process itself is considered to have been stalled.
 const MAX_ROUND_DELAY: TimeSpan = TimeSpan::from_millis(250);
-/// Pause before the endpoint list is subscribed to again.
+/// Delay before subscribing to the endpoint list again.
 const RESUBSCRIBE_DELAY: TimeSpan = TimeSpan::from_millis(1000);
 
 /// A round of periodic work.
@@ -19,49 +19,49 @@
 pub(crate) struct HousekeepingRound {
     /// Time until the next round.
     pub(crate) interval: TimeSpan,
-    /// A control period has ended.
+    /// Whether a control period has ended.
     pub(crate) ends_period: bool,
 }
 
-/// When periodic work is due.
+/// Schedule of the periodic work.
 pub(crate) struct HousekeepingSchedule {
     interval: TimeSpan,
-    /// The next round; `None` before the first.
+    /// When the next round is due; `None` before the first.
     next_round: Option<Timestamp>,
     /// When the last control period ended; `None` before the first round.
     last_period_end: Option<Timestamp>,
     was_stalled: bool,
-    is_subscribed_discovery: bool,
-    /// When to subscribe to the endpoint list.
+    uses_subscription: bool,
+    /// When to subscribe to the endpoint list; `None` if no subscription is pending.
     subscribe_at: Option<Timestamp>,
 }
 
 impl HousekeepingSchedule {
-    /// The first round, and a subscription if the list needs one, are due at once.
+    /// The first round is due immediately, and so is the subscription if endpoints are discovered by one.
     pub(crate) fn new(settings: &Settings) -> Self {
-        let is_subscribed_discovery = settings.discovery == Discovery::Subscribed;
+        let uses_subscription = settings.discovery == Discovery::Subscribed;
         Self {
-            interval: TimeSpan::from(settings.tick).max(MIN_TICK) * ROUND_TICKS,
+            interval: TimeSpan::from(settings.tick).max(MIN_TICK) * TICKS_PER_ROUND,
             next_round: None,
             last_period_end: None,
             was_stalled: false,
-            is_subscribed_discovery,
-            subscribe_at: is_subscribed_discovery.then_some(Timestamp::ZERO),
+            uses_subscription,
+            subscribe_at: uses_subscription.then_some(Timestamp::ZERO),
         }
     }
 
-    /// A step begins. A process that was stalled receives at once all that came meanwhile: those latencies
-    /// are its own, and nothing is learned from them.
+    /// Starts a step. A stalled process receives all delayed events at once: their latencies are its own, so
+    /// they are not used as samples.
     pub(crate) fn begin_step(&mut self, now: Timestamp) {
         self.was_stalled = self.next_round.is_some_and(|due| now - due > MAX_ROUND_DELAY);
     }
 
-    /// Whether this process was stalled before the present step.
+    /// Whether this process was stalled before the current step.
     pub(crate) fn was_stalled(&self) -> bool {
         self.was_stalled
     }
 
-    /// The round that is due, if one is.
+    /// Returns the round that is due, if any, and schedules the next one.
     pub(crate) fn take_round(&mut self, now: Timestamp) -> Option<HousekeepingRound> {
         if self.next_round.is_some_and(|due| now < due) {
             return None;
@@ -79,9 +79,9 @@
         self.subscribe_at.take_if(|at| *at <= now).is_some()
     }
 
-    /// A call for the endpoint list has failed.
+    /// Schedules a new subscription after a call for the endpoint list has failed.
     pub(crate) fn on_endpoint_list_failed(&mut self, now: Timestamp) {
-        self.subscribe_at = self.is_subscribed_discovery.then_some(now + RESUBSCRIBE_DELAY);
+        self.subscribe_at = self.uses_subscription.then_some(now + RESUBSCRIBE_DELAY);
     }
 }
 
--- a/src/policy/housekeeping/tests.rs
+++ b/src/policy/housekeeping/tests.rs
@@ -1,12 +1,12 @@
-//! Rounds, control periods, stalls of the process and subscriptions.
+//! Rounds, control periods, detection of stalls, and subscriptions.
 
 use super::*;
 use crate::policy::tests::{at_ms, settings};
 
 #[test]
-fn rounds_come_every_four_ticks_and_periods_every_second() {
+fn rounds_are_due_every_four_ticks_and_periods_end_every_second() {
     let mut schedule = HousekeepingSchedule::new(&settings());
-    let first = schedule.take_round(at_ms(0)).expect("the first is due at once");
+    let first = schedule.take_round(at_ms(0)).expect("the first round is due immediately");
     assert_eq!((first.interval, first.ends_period), (TimeSpan::from_millis(20), true));
     assert_eq!(schedule.take_round(at_ms(19)), None);
     assert!(!schedule.take_round(at_ms(20)).expect("due").ends_period);
@@ -14,10 +14,10 @@
 }
 
 #[test]
-fn overdue_round_shows_that_the_process_was_stalled() {
+fn overdue_round_indicates_a_stalled_process() {
     let mut schedule = HousekeepingSchedule::new(&settings());
     schedule.begin_step(at_ms(0));
-    assert!(!schedule.was_stalled(), "there was no round before");
+    assert!(!schedule.was_stalled(), "there was no earlier round");
     schedule.take_round(at_ms(0));
     schedule.begin_step(at_ms(270));
     assert!(!schedule.was_stalled());
@@ -31,7 +31,7 @@
     settings.discovery = Discovery::Subscribed;
     let mut schedule = HousekeepingSchedule::new(&settings);
     assert!(schedule.take_subscription(at_ms(0)));
-    assert!(!schedule.take_subscription(at_ms(0)), "one is enough");
+    assert!(!schedule.take_subscription(at_ms(0)), "only one subscription is due");
     schedule.on_endpoint_list_failed(at_ms(0));
     assert!(!schedule.take_subscription(at_ms(999)) && schedule.take_subscription(at_ms(1000)));
 }
