--- a/gateway/src/broker/admission.rs
+++ b/gateway/src/broker/admission.rs
@@ -10,7 +10,7 @@
     BrokerEvent, Charge, ClaimAnswer, EngineTransport, Failure, QuotaDecision, QuotaRequest, Rejection,
     Request, Response, ResponseHandle,
 };
-use reedwalk_scheduler::{Arrival, Event, GroupId, RequestId};
+use reedwalk_scheduler::{Arrival, Event, RequestId, TableGroupId};
 use reedwalk_shared_store::idempotency::{EarlierAttempt, RequestStep};
 use tokio::time::Instant;
 
@@ -148,7 +148,7 @@
             class: request.class,
             tenant: Default::default(),
             ordering_key: request.idempotency_key.as_deref().map(reedwalk_settings::key),
-            table_group: request.table_group.map(GroupId),
+            table_group: request.table_group.map(TableGroupId),
             time_left: request.deadline.saturating_duration_since(now),
             work: request.work,
             memory_mb: request.memory_mb,
--- a/gateway/src/broker/dedup_groups.rs
+++ b/gateway/src/broker/dedup_groups.rs
@@ -1,6 +1,6 @@
 //! Deduplication groups: which engines drop repeated requests of one idempotency key together.
 
-use reedwalk_scheduler::{EngineEntry, EngineId, EngineState, KeyScope};
+use reedwalk_scheduler::{DeduplicationScope, EngineEntry, EngineId, EngineState};
 use std::collections::HashMap;
 
 /// The group of each listed engine. Engines that are removed are forgotten.
@@ -20,7 +20,7 @@
     }
 
     /// The group of an engine; `None` where it is in none, or not known.
-    pub(super) fn group_of(&self, engine: EngineId, scope: KeyScope) -> Option<u64> {
+    pub(super) fn group_of(&self, engine: EngineId, scope: DeduplicationScope) -> Option<u64> {
         self.0.get(&engine).and_then(|entry| scope.group(entry))
     }
 }
--- a/gateway/src/broker/idempotency.rs
+++ b/gateway/src/broker/idempotency.rs
@@ -7,7 +7,7 @@
 use crate::message::{AttemptId, AttemptRequest, BrokerEvent, ClaimAnswer, Request, Rows};
 use crate::shared_store::client::{Key, SharedStoreClient};
 use crate::unix_clock::unix_ms;
-use reedwalk_scheduler::{Deduplication, EngineEntry, KeyScope, RequestId};
+use reedwalk_scheduler::{Deduplication, DeduplicationScope, EngineEntry, RequestId};
 use reedwalk_settings::Deployment;
 use reedwalk_shared_store::idempotency::{
     ClaimEnd, ClaimHolder, KeyedRequest, RequestEnd, RequestStep, Scope, SendDecision, SendRecord,
@@ -86,7 +86,7 @@
         };
         let class = *class;
         let answer_deadline = now + self.store.options().wait;
-        let scope = if class.scope == KeyScope::All { Scope::All } else { Scope::Group };
+        let scope = if class.scope == DeduplicationScope::All { Scope::All } else { Scope::Group };
         let mut state =
             KeyedRequest::new(scope, request.is_retry, class.window, self.store.options().clocks_differ);
         let is_shared = idempotency_key.len() <= MAX_SHARED_KEY_BYTES;
--- a/gateway/src/broker/recovery_guard.rs
+++ b/gateway/src/broker/recovery_guard.rs
@@ -11,7 +11,7 @@
 use reedwalk_recovery::idempotency_keys::{KeyRules, KeyVerdict, KnownKeys};
 use reedwalk_recovery::snapshot::KeyRecord;
 use reedwalk_recovery::startup_phases::{AdmissionDecision, StartupPhase, StartupPhases, StartupSetup};
-use reedwalk_scheduler::{Deduplication, EngineEntry, EngineId, KeyScope, Scheduler};
+use reedwalk_scheduler::{Deduplication, DeduplicationScope, EngineEntry, EngineId, Scheduler};
 use reedwalk_settings::Deployment;
 use reedwalk_shared_store::idempotency::EarlierAttempt;
 use slog::{Logger, info};
@@ -224,5 +224,5 @@
 }
 
 fn key_rules(class: Deduplication) -> KeyRules {
-    KeyRules { one_group: class.scope == KeyScope::All, window: class.window.as_millis() as Millis }
+    KeyRules { one_group: class.scope == DeduplicationScope::All, window: class.window.as_millis() as Millis }
 }
--- a/gateway/src/engine/resp/wire.rs
+++ b/gateway/src/engine/resp/wire.rs
@@ -175,7 +175,7 @@
     let body = strings.next().unwrap_or_default();
     let fields = Fields(std::str::from_utf8(&fields).map_err(|_| BadReply("fields are no text"))?);
     let progress = match (fields.find("why"), fields.number("datum")) {
-        (Some("pct"), Some(done)) => Some(ProgressReport::Done(done)),
+        (Some("pct"), Some(done)) => Some(ProgressReport::FractionDone(done)),
         (Some("overflow"), Some(missing)) => Some(ProgressReport::Spilling(missing)),
         (Some("queued"), Some(2.0)) => Some(ProgressReport::WaitingForLoad),
         (Some("queued"), Some(_)) => Some(ProgressReport::WaitingForMemory),
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -220,7 +220,7 @@
         (Some(0.61), Some(7.0), None)
     );
     let progress = |fields| reply(&["t", "status", fields, ""]).unwrap().progress;
-    assert_eq!(progress("why=pct,datum=0.5"), Some(reedwalk_scheduler::ProgressReport::Done(0.5)));
+    assert_eq!(progress("why=pct,datum=0.5"), Some(reedwalk_scheduler::ProgressReport::FractionDone(0.5)));
     assert_eq!(progress("why=queued,datum=2"), Some(reedwalk_scheduler::ProgressReport::WaitingForLoad));
     assert_eq!(progress("-"), None);
     assert!(reply(&["t", "299", "-", ""]).is_err() && reply(&["t"]).is_err());
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -118,8 +118,10 @@
 }
 
 /// An idempotency key as a number (FNV-1a), so that its text need not be stored.
-pub fn key(text: &[u8]) -> KeyId {
-    KeyId(text.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)))
+pub fn key(text: &[u8]) -> OrderingKeyId {
+    OrderingKeyId(
+        text.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)),
+    )
 }
 
 /// Reads the settings object.
@@ -198,7 +200,7 @@
     rules.slow_start_from = object.slow_start_from.map_or(rules.slow_start_from, non_negative);
     rules.overload_multiple = object.overload_multiple.map_or(rules.overload_multiple, non_negative);
     rules.retry_budget = object.retry_window_us.map(|window| RetryBudget {
-        free: object.free_retries.map_or(0.0, non_negative),
+        free_retries: object.free_retries.map_or(0.0, non_negative),
         ratio: object.retry_ratio.map_or(0.0, non_negative),
         window: duration_from_us(window),
     });
@@ -235,9 +237,9 @@
 /// What a retry of the class's requests would do; what is not named must not run twice.
 fn idempotency(object: &ClassObject) -> Idempotency {
     let scope = match object.deduplication_scope.as_str() {
-        "zone" => KeyScope::Zone,
-        "cell" => KeyScope::Cell,
-        _ => KeyScope::All,
+        "zone" => DeduplicationScope::Zone,
+        "cell" => DeduplicationScope::Cell,
+        _ => DeduplicationScope::All,
     };
     match object.idempotency.as_str() {
         "repeatable" => Idempotency::Idempotent,
--- a/settings/tests/keys.rs
+++ b/settings/tests/keys.rs
@@ -71,7 +71,7 @@
         overload_multiple: 3.0,
         overload_window: ms(4000),
         order_settle: ms(500),
-        retry_budget: Some(RetryBudget { free: 5.0, ratio: 0.1, window: ms(10_000) }),
+        retry_budget: Some(RetryBudget { free_retries: 5.0, ratio: 0.1, window: ms(10_000) }),
     };
     assert_eq!(scheduler.rules, rules);
     let engine = EngineTraits {
@@ -91,7 +91,7 @@
         objective_stretch: 1.5,
         priority_weight: 2.0,
         late_weight: 0.25,
-        idempotency: Idempotency::Keyed { scope: KeyScope::Cell, window: ms(60_000) },
+        idempotency: Idempotency::Keyed { scope: DeduplicationScope::Cell, window: ms(60_000) },
         in_order: true,
         zones: Some(vec![ZoneId(1)]),
         kinds: Some(vec![KindId(0)]),
@@ -108,7 +108,10 @@
     assert_eq!(scheduler.classes[..2], [quick, load]);
     let idempotency: Vec<_> = scheduler.classes[2..].iter().map(|class| class.idempotency).collect();
     let keyed = |scope| Idempotency::Keyed { scope, window: ms(0) };
-    assert_eq!(idempotency, [Idempotency::NonIdempotent, keyed(KeyScope::Zone), keyed(KeyScope::All)]);
+    assert_eq!(
+        idempotency,
+        [Idempotency::NonIdempotent, keyed(DeduplicationScope::Zone), keyed(DeduplicationScope::All)]
+    );
 }
 
 #[test]
--- a/simulator-adapter/src/convert.rs
+++ b/simulator-adapter/src/convert.rs
@@ -40,7 +40,7 @@
 /// An engine's report on an attempt; `None` for a kind that is not known.
 pub fn progress(kind: u32, value: f64) -> Option<ProgressReport> {
     match (kind, value) {
-        (1, _) => Some(ProgressReport::Done(value)),
+        (1, _) => Some(ProgressReport::FractionDone(value)),
         (2, _) => Some(ProgressReport::Spilling(value)),
         (3, 2.0) => Some(ProgressReport::WaitingForLoad),
         (3, _) => Some(ProgressReport::WaitingForMemory),
--- a/simulator-adapter/src/instance.rs
+++ b/simulator-adapter/src/instance.rs
@@ -5,7 +5,7 @@
 use crate::wire::{self, Incoming, Outgoing};
 use reedwalk_scheduler::{
     Action, Arrival, AttemptEnded, AttemptNo, CellId, ClassId, EndpointScope, EngineEntry, EngineId, Event,
-    GroupId, KindId, RequestId, Scheduler, TenantId, Time, ZoneId,
+    KindId, RequestId, Scheduler, TableGroupId, TenantId, Time, ZoneId,
 };
 use std::collections::HashMap;
 use std::fmt;
@@ -193,7 +193,7 @@
             class: ClassId(class),
             tenant: TenantId(tenant),
             ordering_key: ordering_key.map(|key| reedwalk_settings::key(key.as_bytes())),
-            table_group: table_group.map(|group| GroupId(group as u64)),
+            table_group: table_group.map(|group| TableGroupId(group as u64)),
             time_left: Duration::from_micros(time_left_us.max(0) as u64),
             work: work_estimate_us
                 .filter(|estimate| *estimate > 0.0)
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,44 +1,45 @@
-//! What a gateway decides.
+//! Actions: the decisions of the scheduler.
 
 use super::ids::{AttemptNo, EngineId, RequestId};
 use std::time::Duration;
 
-/// What a gateway decides.
+/// A decision of the scheduler, to be executed by the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
-        /// The engine.
+        /// Engine to send it to.
         engine: EngineId,
-        /// Time-out; `None` for the request's deadline.
+        /// Timeout of the attempt; `None` means the request's deadline.
         timeout: Option<Duration>,
     },
     /// Cancel an attempt.
     Cancel {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
-        /// Which of its attempts.
+        /// Number of the attempt within the request.
         attempt: AttemptNo,
     },
-    /// Final answer: rejected; a retry is harmless.
+    /// Reject the request as its final answer; a retry by the client is harmless.
     Reject {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
-        /// How long the client is asked to wait before it retries.
+        /// Time that the client is asked to wait before it retries.
         retry_after: Option<Duration>,
     },
-    /// Final answer: failed, with no promise about a retry.
+    /// Fail the request as its final answer, without a guarantee that a retry by the client is harmless.
     Fail {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// Grant memory to a request's next attempts, and a priority also to those in flight.
+    /// Set the memory grant of a request's next attempts, and its priority, which also applies to attempts in
+    /// flight.
     GrantResources {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
-        /// Memory in MB; `None` leaves it to the engine.
+        /// Memory in MB; `None` leaves the amount to the engine.
         memory_mb: Option<f64>,
         /// Priority, 0 (lowest) to 3.
         priority: u8,
@@ -49,15 +50,15 @@
     CheckHealth(EngineId),
     /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// An engine was ejected for a while on this gateway's own evidence; other gateways may be notified.
+    /// An engine was ejected temporarily on this gateway's own evidence; other gateways may be notified.
     EngineEjected {
-        /// Which engine.
+        /// Id of the engine.
         engine: EngineId,
-        /// It does not respond; else it fails.
+        /// Whether the engine does not respond; otherwise it returns failures.
         unresponsive: bool,
-        /// For how long.
+        /// Duration of the ejection.
         duration: Duration,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,148 +1,148 @@
-//! What a gateway observes.
+//! Events: the inputs of the scheduler.
 
 use super::endpoint::{EndpointScope, EngineEntry};
-use super::ids::{AttemptNo, ClassId, EngineId, GroupId, KeyId, RequestId, TenantId, Time};
+use super::ids::{AttemptNo, ClassId, EngineId, OrderingKeyId, RequestId, TableGroupId, TenantId, Time};
 use super::outcome::{LoadReport, Outcome, ResourceUsage};
 use std::time::Duration;
 
-/// A request as it arrives.
+/// A new request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Arrival {
-    /// Which request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant that sent it.
     pub tenant: TenantId,
-    /// Its ordering key.
-    pub ordering_key: Option<KeyId>,
-    /// The group of the tables that it reads or writes.
-    pub table_group: Option<GroupId>,
-    /// Time until its client's deadline.
+    /// Ordering key, if any.
+    pub ordering_key: Option<OrderingKeyId>,
+    /// Group of the tables that it reads or writes, if known.
+    pub table_group: Option<TableGroupId>,
+    /// Time until the client's deadline.
     pub time_left: Duration,
-    /// Estimated work, as time on one thread.
+    /// Estimated work, as execution time on a single thread.
     pub work: Option<Duration>,
     /// Estimated memory in MB.
     pub memory_mb: Option<f64>,
-    /// Its client marks it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// An attempt of an earlier request of its key that may have run, where one is known.
+    /// Known attempt of an earlier request with the same idempotency key that may have run.
     pub prior_attempt: Option<PriorAttempt>,
 }
 
 impl Arrival {
-    /// A first request of the first tenant, with no key and no estimates.
+    /// Creates a request of the first tenant that is not a retry, without keys and estimates.
     pub fn new(request: RequestId, class: ClassId, time_left: Duration) -> Self {
         Self { request, class, time_left, ..Self::default() }
     }
 }
 
-/// An attempt that another gateway has sent, or this one before it restarted.
+/// An attempt that another gateway sent, or this gateway before it restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PriorAttempt {
-    /// The group of engines that deduplicate its retries; 0 where all do.
+    /// Group of engines that deduplicate its retries; 0 if all engines do.
     pub group: u64,
-    /// How long ago it was sent, at most.
+    /// Upper bound of the time since it was sent.
     pub age: Duration,
 }
 
 /// An engine's report on a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgressReport {
-    /// Share of the query that is done, from 0 to 1; rough.
-    Done(f64),
-    /// It spills to disk; this many MB of memory are missing.
+    /// Approximate fraction of the query that is done, from 0 to 1.
+    FractionDone(f64),
+    /// The query spills to disk; it lacks this many MB of memory.
     Spilling(f64),
-    /// It waits for memory.
+    /// The query waits for memory.
     WaitingForMemory,
-    /// It waits for a bulk load.
+    /// The query waits for a bulk load.
     WaitingForLoad,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnded {
-    /// Which request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Which of its attempts.
+    /// Number of the attempt within the request.
     pub attempt: AttemptNo,
     /// How it ended.
     pub outcome: Outcome,
-    /// The request has its final answer already.
+    /// Whether the request already has its final answer.
     pub closed: bool,
-    /// What it used, if reported.
+    /// Resources that the query used, if reported.
     pub usage: Option<ResourceUsage>,
     /// The engine's load, if reported.
     pub load: Option<LoadReport>,
 }
 
-/// What a gateway observes.
+/// An input of the scheduler, observed by the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list, or changes to it.
     Endpoints {
-        /// What the entries cover.
+        /// Which engines the entries cover.
         scope: EndpointScope,
         /// The entries.
         entries: Vec<EngineEntry>,
     },
-    /// A call for the endpoint list failed, or the subscription to it broke.
+    /// A request for the endpoint list failed, or the subscription to it was interrupted.
     EndpointListFailed,
-    /// This process's share of the gateway's capacity, over 0 and at most 1; another process has the rest.
+    /// This process's share of the gateway's capacity, above 0 and at most 1; another process has the rest.
     CapacityShare(f64),
-    /// How many gateways are alive, as far as is known; fewer than configured carry the load of all.
+    /// Estimated number of live gateways; if fewer than configured, they carry the load of all.
     LiveGateways(f64),
     /// Several other gateways have ejected an engine, each on its own evidence.
     EjectedByGossip {
-        /// Which engine.
+        /// Id of the engine.
         engine: EngineId,
-        /// For how long, without further reports.
+        /// Duration of the ejection unless further reports arrive.
         duration: Duration,
     },
-    /// Several other gateways report a restart of an engine that the endpoint list does not have yet.
+    /// Several other gateways report a restart of an engine that the endpoint list does not show yet.
     EngineRestarted {
-        /// Which engine.
+        /// Id of the engine.
         engine: EngineId,
-        /// When it started.
+        /// Time at which the engine started.
         started: Time,
     },
-    /// How slow an engine is by what several other gateways observe.
+    /// Slowdown of an engine as observed by several other gateways.
     SlowdownObserved {
-        /// Which engine.
+        /// Id of the engine.
         engine: EngineId,
-        /// Execution time over that of an unloaded engine.
+        /// Ratio of the execution time to that on an unloaded engine.
         slowdown: f64,
     },
-    /// A client's request.
+    /// A request has arrived from a client.
     Arrival(Arrival),
-    /// The shared store has recorded the group that a request's attempt goes to: the request is bound to that
-    /// group as if the attempt had run.
+    /// The shared store has recorded the deduplication group of a request's attempt: the request is bound to
+    /// that group as if the attempt had run.
     BoundToGroup(RequestId),
-    /// A stream of rows has started; the attempt belongs to the client from now on.
+    /// Rows have begun to stream to the client; from now on the request is not retried.
     StreamStarted {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
-        /// Which of its attempts.
+        /// Number of the attempt within the request.
         attempt: AttemptNo,
     },
     /// An engine reports on a running attempt.
     Progress {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
-        /// Which of its attempts.
+        /// Number of the attempt within the request.
         attempt: AttemptNo,
         /// The report.
         report: ProgressReport,
     },
     /// An attempt has ended.
     Ended(AttemptEnded),
-    /// The client has disconnected or cancelled.
+    /// The client has disconnected or cancelled its request.
     ClientDisconnected(RequestId),
-    /// The wake-up that [`Action::WakeAfter`](super::Action::WakeAfter) asked for.
+    /// The wake-up requested by [`Action::WakeAfter`](super::Action::WakeAfter).
     WakeUp,
     /// A health check has ended.
     HealthChecked {
-        /// Which engine.
+        /// Id of the engine.
         engine: EngineId,
         /// How it ended.
         outcome: Outcome,
--- a/src/interface/exclusion.rs
+++ b/src/interface/exclusion.rs
@@ -1,40 +1,40 @@
-//! Why an engine was not chosen for a request.
+//! Reasons why an engine was not selected for a request.
 
 use super::ids::EngineId;
 use std::fmt;
 
-/// Why an engine is not the one that a request's next attempt goes to.
+/// Reason why an engine was not selected for a request's next attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ExclusionReason {
-    /// The endpoint list says that it is draining.
+    /// The engine is draining according to the endpoint list.
     Draining,
-    /// It is not in the endpoint list any more.
+    /// The engine is no longer in the endpoint list.
     NotInService,
     /// The class is restricted to other zones.
     ZoneRestricted,
     /// The class is restricted to other kinds of machine.
     KindRestricted,
-    /// An earlier attempt may have run, and the class must not run twice.
+    /// An earlier attempt may have run, and requests of the class must not run twice.
     RetryNotIdempotent,
     /// An earlier attempt may have run, and engines may have forgotten its idempotency key.
     IdempotencyWindowOver,
-    /// An earlier attempt may have run at an engine that does not deduplicate with this one.
+    /// An earlier attempt may have run on an engine that does not deduplicate together with this one.
     OtherDeduplicationGroup,
-    /// It is ejected on this gateway's own evidence.
+    /// The engine is ejected on this gateway's own evidence.
     Ejected,
-    /// It has just rejected an attempt.
+    /// The engine has just rejected an attempt.
     Paused,
-    /// It is ejected on reports of other gateways.
+    /// The engine is ejected because of reports from other gateways.
     EjectedByGossip,
-    /// It serves one query at a time after an ejection, and has one.
+    /// The engine gets one query at a time after an ejection, and one is in flight.
     OnProbation,
-    /// It has just started, and this gateway's part of its budget is used up.
+    /// The engine has just started, and this gateway's share of its slow-start budget is used up.
     SlowStartBudget,
-    /// A bulk load of this gateway locks the request's tables there.
+    /// A bulk load from this gateway locks the request's tables on the engine.
     TableLocked,
-    /// It is under pressure, and this gateway's concurrency limit there is reached.
+    /// The engine is under pressure, and this gateway's concurrency limit for it is reached.
     LimitReached,
-    /// It could serve the request, but another engine ranks before it.
+    /// The engine could serve the request, but another one ranks higher.
     Outranked,
 }
 
@@ -60,12 +60,12 @@
     }
 }
 
-/// Why one engine is not the one that a request's next attempt goes to.
+/// An engine that was not selected for a request's next attempt, with the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EngineExclusion {
-    /// Which engine.
+    /// Id of the engine.
     pub engine: EngineId,
-    /// Why not.
+    /// Why it was not selected.
     pub reason: ExclusionReason,
 }
 
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,10 +1,10 @@
 //! Identifiers and time.
 
-/// An instant on the controller's clock, in microseconds from an arbitrary start.
+/// A point in time on the controller's clock, in microseconds from an arbitrary start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub u64);
 
-macro_rules! ids {
+macro_rules! define_ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -12,25 +12,25 @@
     )*};
 }
 
-ids! {
-    /// One request of a client, as the controller numbers it; never used twice.
+define_ids! {
+    /// Id of a client's request, assigned by the controller; never reused.
     RequestId(u64);
-    /// One engine; keeps its id over restarts.
+    /// Id of an engine; stays the same over restarts.
     EngineId(u32);
-    /// Position in [`Settings::classes`](super::Settings::classes).
+    /// Index into [`Settings::classes`](super::Settings::classes).
     ClassId(usize);
-    /// Position in [`Settings::tenants`](super::Settings::tenants).
+    /// Index into [`Settings::tenants`](super::Settings::tenants).
     TenantId(usize);
-    /// A location.
+    /// Id of a zone, in which engines and gateways run.
     ZoneId(usize);
-    /// Position in [`Settings::kinds`](super::Settings::kinds).
+    /// Index into [`Settings::kinds`](super::Settings::kinds).
     KindId(usize);
-    /// A small set of engines that deduplicate requests together.
+    /// Id of a cell: a small set of engines that deduplicate requests together.
     CellId(u64);
-    /// An ordering key.
-    KeyId(u64);
-    /// A group of tables.
-    GroupId(u64);
-    /// Number of a request's attempt, from 0 in the order in which they are sent.
+    /// Id of an ordering key.
+    OrderingKeyId(u64);
+    /// Id of a group of tables.
+    TableGroupId(u64);
+    /// Number of an attempt within its request, from 0 in the order of sending.
     AttemptNo(u32);
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,5 +1,5 @@
-//! The vocabulary between a controller and the scheduler: settings, events, actions. Nothing here decides
-//! anything; all decisions are made in [`crate::policy`].
+//! Public types that a controller and the scheduler exchange: settings, events and actions. All decisions are
+//! made in [`crate::policy`].
 
 mod action;
 mod endpoint;
@@ -15,11 +15,12 @@
 pub use event::{Arrival, AttemptEnded, Event, PriorAttempt, ProgressReport};
 pub use exclusion::{EngineExclusion, ExclusionReason};
 pub use ids::{
-    AttemptNo, CellId, ClassId, EngineId, GroupId, KeyId, KindId, RequestId, TenantId, Time, ZoneId,
+    AttemptNo, CellId, ClassId, EngineId, KindId, OrderingKeyId, RequestId, TableGroupId, TenantId, Time,
+    ZoneId,
 };
 pub use observation::{ClassLatencyStats, EngineObservation, SampledMean};
 pub use outcome::{LoadReport, Outcome, ResourceUsage};
 pub use settings::{
-    ClassSettings, Deduplication, Discovery, EngineTraits, Idempotency, KeyScope, KindSettings, Limits,
-    RetryBudget, Rules, Settings, SettingsError, TenantSettings,
+    ClassSettings, Deduplication, DeduplicationScope, Discovery, EngineTraits, Idempotency, KindSettings,
+    Limits, RetryBudget, Rules, Settings, SettingsError, TenantSettings,
 };
--- a/src/interface/observation.rs
+++ b/src/interface/observation.rs
@@ -1,33 +1,33 @@
-//! What a gateway has observed, for other gateways and for its own next process.
+//! Observations of a gateway, for other gateways and for its own next process.
 
 use super::ids::{EngineId, Time};
 
-/// How one gateway sees an engine.
+/// One gateway's observation of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineObservation {
-    /// Which engine.
+    /// Id of the engine.
     pub engine: EngineId,
-    /// Execution time over that of an unloaded engine; `None` where nothing was observed lately.
+    /// Ratio of the execution time to that on an unloaded engine; `None` without recent samples.
     pub slowdown: Option<f64>,
-    /// Threads that this gateway's own queries use there.
+    /// Threads that this gateway's own queries use on the engine.
     pub threads: f64,
-    /// Until when it is ejected on this gateway's own evidence.
+    /// End of the ejection on this gateway's own evidence, if the engine is ejected.
     pub ejected_until: Option<Time>,
 }
 
 /// A mean and the number of samples behind it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SampledMean {
-    /// The mean, in microseconds.
+    /// Mean in microseconds.
     pub mean: f64,
-    /// Number of samples, faded with time.
+    /// Number of samples, decayed over time.
     pub samples: f64,
 }
 
-/// How long a class's queries take, as one gateway has learned.
+/// Latency statistics of a class's queries, as measured by one gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassLatencyStats {
-    /// Execution time of the served queries.
+    /// Execution time of served queries.
     pub execution_time: SampledMean,
     /// Work divided by threads.
     pub work_per_thread: SampledMean,
--- a/src/interface/outcome.rs
+++ b/src/interface/outcome.rs
@@ -1,35 +1,36 @@
-//! How attempts end, and what engines report with that.
+//! Outcomes of attempts, and the resource usage and load that engines report with them.
 
 use std::time::Duration;
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The query was served.
     Ok,
     /// The engine answered with an error; the query may have run.
     Error,
-    /// Rejected by the engine before it ran: full, draining, or its deadline passed in the engine's queue.
+    /// The engine rejected the query before it ran: the engine is full or draining, or the deadline passed in
+    /// its queue.
     Rejected,
-    /// No answer in time; the query may have run, or still run.
+    /// No answer arrived in time; the query may have run, or may still run.
     TimedOut,
-    /// No connection; the query never ran.
+    /// No connection could be opened; the query never ran.
     ConnectFailed,
     /// The connection broke; the query may have run.
     Reset,
-    /// Cancelled; the query may have run.
+    /// The attempt was cancelled; the query may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NeverSent,
 }
 
 impl Outcome {
-    /// Whether the attempt surely never ran.
+    /// Whether it is certain that the query never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NeverSent)
     }
 
-    /// Whether the attempt may still be running.
+    /// Whether the query may still be running.
     pub fn may_still_run(self) -> bool {
         matches!(self, Self::TimedOut | Self::Reset | Self::Cancelled)
     }
@@ -38,23 +39,23 @@
 /// Resources that a served query used.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceUsage {
-    /// Work, as time on one thread.
+    /// Work, as execution time on a single thread.
     pub work: Duration,
     /// Memory in MB.
     pub memory_mb: f64,
 }
 
-/// An engine's report of its own load; delayed and noisy.
+/// An engine's report of its own load; the values are delayed and noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Queries that wait for memory.
+    /// Number of queries that wait for memory.
     pub queue: Option<f64>,
-    /// Share of the cores in use.
+    /// Fraction of the cores in use.
     pub cpu: Option<f64>,
-    /// Share of the memory granted.
+    /// Fraction of the memory that is granted to queries.
     pub memory: Option<f64>,
-    /// Share of the disk bandwidth in use.
+    /// Fraction of the disk bandwidth in use.
     pub disk: Option<f64>,
-    /// Queries in flight.
+    /// Number of queries in flight.
     pub in_flight: Option<f64>,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,37 +1,37 @@
-//! The settings of a gateway.
+//! Settings of a gateway.
 
 use super::endpoint::EngineEntry;
 use super::ids::{KindId, ZoneId};
 use std::fmt;
 use std::time::Duration;
 
-/// What a retry of a request would do.
+/// Whether the requests of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of retries is harmless.
+    /// Any number of executions is harmless.
     Idempotent,
-    /// It carries an idempotency key, by which engines of one scope drop retries for a while.
+    /// Requests carry an idempotency key, by which engines of one scope drop duplicates for some time.
     Keyed {
-        /// Which engines deduplicate together.
-        scope: KeyScope,
-        /// How long they remember a key, from when the first attempt that may have run was sent.
+        /// Engines that deduplicate together.
+        scope: DeduplicationScope,
+        /// Time for which engines remember a key, from sending the first attempt that may have run.
         window: Duration,
     },
-    /// It must not run twice.
+    /// A request must not run twice.
     NonIdempotent,
 }
 
 /// How engines deduplicate the requests of a class with idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Deduplication {
-    /// Which engines deduplicate together.
-    pub scope: KeyScope,
-    /// How long they remember a key, from when the first attempt that may have run was sent.
+    /// Engines that deduplicate together.
+    pub scope: DeduplicationScope,
+    /// Time for which engines remember a key, from sending the first attempt that may have run.
     pub window: Duration,
 }
 
 impl Idempotency {
-    /// How engines deduplicate the requests of this kind; `None` where they carry no idempotency key.
+    /// How engines deduplicate such requests; `None` if they carry no idempotency key.
     pub fn deduplication(self) -> Option<Deduplication> {
         match self {
             Self::Keyed { scope, window } => Some(Deduplication { scope, window }),
@@ -40,19 +40,19 @@
     }
 }
 
-/// The engines that deduplicate the requests of one idempotency key together.
+/// Set of engines that deduplicate requests with the same idempotency key together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyScope {
-    /// Every engine.
+pub enum DeduplicationScope {
+    /// All engines.
     All,
-    /// Those in the zone of the engine that was tried first.
+    /// Engines in the same zone as the engine of the first attempt.
     Zone,
-    /// Those in its cell.
+    /// Engines in the same cell as the engine of the first attempt.
     Cell,
 }
 
-impl KeyScope {
-    /// The deduplication group of an engine; `None` where its zone or cell is not known.
+impl DeduplicationScope {
+    /// Deduplication group of an engine; `None` if its zone or cell is unknown.
     pub fn group(self, engine: &EngineEntry) -> Option<u64> {
         match self {
             Self::All => Some(0),
@@ -62,37 +62,37 @@
     }
 }
 
-/// One class of requests.
+/// Settings of a class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Latency up to which an answer counts in full.
+    /// Latency up to which an answer has its full value.
     pub latency_objective: Duration,
-    /// The objective grows by this multiple of the request's work per thread.
+    /// Multiple of the request's work per thread that is added to the latency objective.
     pub objective_stretch: f64,
-    /// Time that a client waits at most.
+    /// Maximum time that a client waits.
     pub deadline: Duration,
-    /// Priority weight of an answer within the objective.
+    /// Weight of an answer within the objective, relative to other classes.
     pub priority_weight: f64,
-    /// Share of that weight for a late answer.
+    /// Weight of an answer after the objective, as a fraction of `priority_weight`.
     pub late_weight: f64,
-    /// What a retry would do.
+    /// Whether requests may be executed more than once.
     pub idempotency: Idempotency,
-    /// Requests with the same ordering key run one at a time, in order.
+    /// Whether requests with the same ordering key run one at a time, in the order of arrival.
     pub in_order: bool,
-    /// The only zones allowed, if restricted.
+    /// Allowed zones; `None` for all.
     pub zones: Option<Vec<ZoneId>>,
-    /// The only kinds of machine allowed, if restricted.
+    /// Allowed kinds of machine; `None` for all.
     pub kinds: Option<Vec<KindId>>,
-    /// Threads that a query runs on.
+    /// Number of threads that a query runs on.
     pub threads: u32,
-    /// A bulk load: it locks its table group on its engine while it runs.
+    /// Whether requests are bulk loads, which lock their table group on the engine while they run.
     pub is_load: bool,
-    /// It is blocked while a bulk load locks its table group.
+    /// Whether requests are blocked while a bulk load locks their table group.
     pub waits_for_loads: bool,
 }
 
 impl ClassSettings {
-    /// An idempotent, unrestricted, single-threaded class with a priority weight of 1.
+    /// Creates an idempotent, unrestricted, single-threaded class with a priority weight of 1.
     pub fn new(latency_objective: Duration, deadline: Duration) -> Self {
         Self {
             latency_objective,
@@ -111,88 +111,88 @@
     }
 }
 
-/// One tenant's quota.
+/// Quota of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Requests a second within its quota, over all gateways.
+    /// Requests per second over all gateways.
     pub quota_per_s: f64,
 }
 
-/// One kind of machine.
+/// Resources of a kind of machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KindSettings {
-    /// Cores of an engine of this kind.
+    /// Number of cores of an engine of this kind.
     pub cores: u32,
-    /// Its memory in MB.
+    /// Memory in MB.
     pub memory_mb: f64,
 }
 
-/// How the endpoint list arrives.
+/// How the gateway receives changes of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
     /// Changes are pushed.
     Pushed,
-    /// Changes come after [`Action::Subscribe`](super::Action::Subscribe) only.
+    /// Changes arrive only after [`Action::Subscribe`](super::Action::Subscribe).
     Subscribed,
 }
 
 /// What a gateway is allowed to do.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// It may cancel attempts.
+    /// Whether it may cancel attempts.
     pub cancel: bool,
-    /// It may check the health of engines.
+    /// Whether it may check the health of engines.
     pub health_checks: bool,
-    /// Attempts of a request at most.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Longest time that a rejected client waits before it retries; `None` where it can't be asked to.
+    /// Maximum time that a rejected client is asked to wait before a retry; `None` if it cannot be asked.
     pub max_retry_after: Option<Duration>,
 }
 
-/// Limits retries, as a share of the requests in a sliding window.
+/// Limits retries to a fraction of the requests in a sliding window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries allowed in any window, whatever the traffic.
-    pub free: f64,
-    /// Retries allowed for each request that arrived in the window.
+    /// Retries allowed in any window regardless of the traffic.
+    pub free_retries: f64,
+    /// Additional retries allowed per request that arrived in the window.
     pub ratio: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
-/// Figures of the platform's rules.
+/// Rules of the platform that the scheduler has to respect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// How long after the client's deadline an answer still counts.
+    /// Time after the client's deadline during which an answer is still accepted.
     pub answer_slack: Duration,
-    /// Nothing is sent to a draining engine after this time from when its drain became known.
+    /// Time after learning of an engine's drain from which on nothing may be sent to it.
     pub drain_grace: Duration,
-    /// Share of its capacity that an engine in slow start has at first, at least.
+    /// Minimum fraction of its capacity that an engine has at the beginning of its slow start.
     pub slow_start_from: f64,
     /// Duration of the slow start.
     pub slow_start_duration: Duration,
-    /// An engine in slow start falls over at more than this multiple of its capacity ...
+    /// An engine in slow start fails if its load exceeds this multiple of its capacity ...
     pub overload_multiple: f64,
-    /// ... over this time.
+    /// ... over this period.
     pub overload_window: Duration,
-    /// Pause of an ordering key after an attempt that may still run.
+    /// Time for which an ordering key is blocked after an attempt that may still run.
     pub order_settle: Duration,
-    /// Limit of retries, if there is one.
+    /// Limit on retries, if any.
     pub retry_budget: Option<RetryBudget>,
 }
 
-/// How engines run queries.
+/// Capabilities and limits of the engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineTraits {
-    /// They respect memory grants.
+    /// Whether engines respect memory grants.
     pub grants: bool,
-    /// They respect priorities.
+    /// Whether engines respect priorities.
     pub priorities: bool,
-    /// Largest share of an engine's memory that one query gets.
+    /// Maximum fraction of an engine's memory that one query can be granted.
     pub max_grant_share: f64,
-    /// Time between two progress reports, if they send any.
+    /// Interval between progress reports, if engines send any.
     pub progress_interval: Option<Duration>,
-    /// Time after which an idle connection is closed, if known.
+    /// Time after which engines close an idle connection, if known.
     pub idle_timeout: Option<Duration>,
 }
 
@@ -203,13 +203,13 @@
     pub gateways: u32,
     /// This gateway's number among them, from 0.
     pub ordinal: u32,
-    /// The zone it runs in, if known.
+    /// Zone in which the gateway runs, if known.
     pub zone: Option<ZoneId>,
-    /// Shortest time between two steps.
+    /// Minimum time between two steps.
     pub tick: Duration,
-    /// How the endpoint list arrives.
+    /// How the gateway receives changes of the endpoint list.
     pub discovery: Discovery,
-    /// Classes of requests.
+    /// Classes of requests; at least one.
     pub classes: Vec<ClassSettings>,
     /// Tenants; may be empty.
     pub tenants: Vec<TenantSettings>,
@@ -217,16 +217,16 @@
     pub kinds: Vec<KindSettings>,
     /// What the gateway is allowed to do.
     pub limits: Limits,
-    /// Figures of the platform's rules.
+    /// Rules of the platform that the scheduler has to respect.
     pub rules: Rules,
-    /// Traits of the engines.
+    /// Capabilities and limits of the engines.
     pub engine: EngineTraits,
-    /// Priority weight of traffic beyond a tenant's quota, as a share of the usual.
+    /// Factor on the priority weight for traffic beyond a tenant's quota.
     pub over_quota_weight: f64,
 }
 
 impl Settings {
-    /// Settings of a single gateway, with modest defaults for all but classes and kinds.
+    /// Creates settings for a single gateway, with conservative defaults except for classes and kinds.
     pub fn new(classes: Vec<ClassSettings>, kinds: Vec<KindSettings>) -> Self {
         Self {
             gateways: 1,
@@ -259,19 +259,19 @@
         }
     }
 
-    /// Cores of an engine of this kind; 1 where the kind is not known.
+    /// Number of cores of an engine of this kind; 1 if the kind is unknown.
     pub fn cores(&self, kind: Option<KindId>) -> f64 {
         let kind = kind.and_then(|kind| self.kinds.get(kind.0));
         kind.map_or(1.0, |kind| f64::from(kind.cores.max(1)))
     }
 }
 
-/// Why settings were rejected.
+/// Error that names an invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The field at fault.
+    /// Name of the invalid field.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub reason: &'static str,
 }
 
--- a/src/policy/dispatch_queue.rs
+++ b/src/policy/dispatch_queue.rs
@@ -5,7 +5,7 @@
 //! the mean execution time `T_i`. Requests leave in rising target order. Late requests go first, those of the
 //! highest priority weight leading (the design's own rule, for the paper's class priority).
 
-use crate::interface::{ClassId, KeyId, RequestId, Settings};
+use crate::interface::{ClassId, OrderingKeyId, RequestId, Settings};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
@@ -39,7 +39,7 @@
     /// For each class the requests that wait to be sent.
     classes: Vec<BTreeSet<QueueKey>>,
     /// Requests of each ordering key until they have ended, also while an attempt is in flight.
-    ordering: BTreeMap<KeyId, OrderingQueue>,
+    ordering: BTreeMap<OrderingKeyId, OrderingQueue>,
 }
 
 impl DispatchQueue {
@@ -59,19 +59,19 @@
     }
 
     /// A request of an ordering key has arrived.
-    pub(crate) fn add_to_order(&mut self, key: KeyId, request: RequestId) {
+    pub(crate) fn add_to_order(&mut self, key: OrderingKeyId, request: RequestId) {
         self.ordering.entry(key).or_default().requests.push_back(request);
     }
 
     /// A request of an ordering key has ended, and no attempt of it is in flight.
-    pub(crate) fn remove_from_order(&mut self, key: KeyId, request: RequestId) {
+    pub(crate) fn remove_from_order(&mut self, key: OrderingKeyId, request: RequestId) {
         if let Some(queue) = self.ordering.get_mut(&key) {
             queue.requests.retain(|waiting| *waiting != request);
         }
     }
 
     /// An attempt of an ordering key may still run until then: nothing of the key follows before.
-    pub(crate) fn settle_order(&mut self, key: KeyId, until: Timestamp) {
+    pub(crate) fn settle_order(&mut self, key: OrderingKeyId, until: Timestamp) {
         if let Some(queue) = self.ordering.get_mut(&key) {
             queue.settles_at = until;
         }
@@ -81,7 +81,7 @@
     /// still run; a retry follows on its own attempt.
     pub(crate) fn is_first_in_order(
         &self,
-        key: Option<KeyId>,
+        key: Option<OrderingKeyId>,
         request: RequestId,
         is_retry: bool,
         now: Timestamp,
--- a/src/policy/dispatch_queue/tests.rs
+++ b/src/policy/dispatch_queue/tests.rs
@@ -40,7 +40,7 @@
 
 #[test]
 fn requests_of_an_ordering_key_follow_each_other() {
-    let (mut queue, ordering_key) = (DispatchQueue::new(1), KeyId(5));
+    let (mut queue, ordering_key) = (DispatchQueue::new(1), OrderingKeyId(5));
     queue.add_to_order(ordering_key, RequestId(1));
     queue.add_to_order(ordering_key, RequestId(2));
     let is_first = |queue: &DispatchQueue, id, is_retry, millis| {
--- a/src/policy/engine_selection/tests.rs
+++ b/src/policy/engine_selection/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 use crate::interface::{
-    EndpointScope, EngineEntry, GroupId, Idempotency, KeyScope, KindId, Outcome, RequestId, ZoneId,
+    DeduplicationScope, EndpointScope, EngineEntry, Idempotency, KindId, Outcome, RequestId, TableGroupId,
+    ZoneId,
 };
 use crate::policy::outlier_detection::{eject, eject_on_gossip};
 use crate::policy::tests::{at_ms, engines, request, settings};
@@ -120,9 +121,9 @@
     let keyed = |scope, millis| Idempotency::Keyed { scope, window: Duration::from_millis(millis) };
     assert_eq!(reason(Idempotency::Idempotent), None);
     assert_eq!(reason(Idempotency::NonIdempotent), Some(ExclusionReason::RetryNotIdempotent));
-    assert_eq!(reason(keyed(KeyScope::All, 100)), Some(ExclusionReason::IdempotencyWindowOver));
-    assert_eq!(reason(keyed(KeyScope::Zone, 101)), Some(ExclusionReason::OtherDeduplicationGroup));
-    assert_eq!(reason(keyed(KeyScope::All, 101)), None);
+    assert_eq!(reason(keyed(DeduplicationScope::All, 100)), Some(ExclusionReason::IdempotencyWindowOver));
+    assert_eq!(reason(keyed(DeduplicationScope::Zone, 101)), Some(ExclusionReason::OtherDeduplicationGroup));
+    assert_eq!(reason(keyed(DeduplicationScope::All, 101)), None);
 }
 
 #[test]
@@ -156,12 +157,12 @@
     let mut pool = TestPool::new(1);
     pool.settings.classes[0].waits_for_loads = true;
     let (mut load, mut waiting) = (request(9, 1), request(1, 0));
-    load.arrival.table_group = Some(GroupId(4));
-    waiting.arrival.table_group = Some(GroupId(4));
+    load.arrival.table_group = Some(TableGroupId(4));
+    waiting.arrival.table_group = Some(TableGroupId(4));
     pool.requests.add(load, false);
     pool.engine(0).attempts.add(RequestId(9), 4.0, true, at_ms(0));
     assert_eq!(pool.exclusion(&waiting), Some(ExclusionReason::TableLocked));
-    waiting.arrival.table_group = Some(GroupId(5));
+    waiting.arrival.table_group = Some(TableGroupId(5));
     assert_eq!(pool.exclusion(&waiting), None);
 }
 
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -6,7 +6,7 @@
 use super::class_estimates::ClassEstimates;
 use super::load_evidence::missed_reports_after;
 use super::retry_policy::is_lost;
-use crate::interface::{Idempotency, KeyScope, Settings};
+use crate::interface::{DeduplicationScope, Idempotency, Settings};
 use crate::state::RequestRecord;
 use crate::time::{TimeSpan, Timestamp};
 
@@ -106,7 +106,7 @@
 /// come of the request, or every engine would drop the retry.
 pub(crate) fn may_reject(request: &RequestRecord, idempotency: Idempotency) -> bool {
     match idempotency {
-        Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. } => true,
+        Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
         _ => request.possible_run.is_none() && request.in_flight.is_none(),
     }
 }
--- a/src/policy/load_shedding/tests.rs
+++ b/src/policy/load_shedding/tests.rs
@@ -57,8 +57,8 @@
     may_have_run.possible_run = Some(PossibleRun { group: Some(1), sent: at_ms(0) });
     let keyed = |scope| Idempotency::Keyed { scope, window: std::time::Duration::from_secs(1) };
     assert!(may_reject(&may_have_run, Idempotency::Idempotent));
-    assert!(may_reject(&may_have_run, keyed(KeyScope::All)));
-    assert!(!may_reject(&may_have_run, keyed(KeyScope::Zone)));
+    assert!(may_reject(&may_have_run, keyed(DeduplicationScope::All)));
+    assert!(!may_reject(&may_have_run, keyed(DeduplicationScope::Zone)));
     assert!(!may_reject(&may_have_run, Idempotency::NonIdempotent));
     assert!(may_reject(&request(1, 0), Idempotency::NonIdempotent));
 }
--- a/src/policy/retry_policy.rs
+++ b/src/policy/retry_policy.rs
@@ -7,7 +7,8 @@
 use super::class_estimates::ClassEstimates;
 use super::gateway_counts::GatewayCounts;
 use crate::interface::{
-    EngineEntry, ExclusionReason, Idempotency, KeyScope, RetryBudget as RetryBudgetSettings, Settings,
+    DeduplicationScope, EngineEntry, ExclusionReason, Idempotency, RetryBudget as RetryBudgetSettings,
+    Settings,
 };
 use crate::state::{EventWindow, InFlightAttempt, PossibleRun, RequestRecord};
 use crate::time::{TimeSpan, Timestamp};
@@ -68,7 +69,7 @@
         let since = now - TimeSpan::from(budget.window);
         let retries = self.retries.count_from(since) as f64;
         let requests = self.requests.count_after(since) as f64;
-        let free = gateways.free_retries(budget.free);
+        let free = gateways.free_retries(budget.free_retries);
         retries + 1.0 <= free + budget.ratio * requests
     }
 
@@ -226,7 +227,7 @@
     /// To the engines of one deduplication group, which drop the request if it did run.
     OneGroup {
         /// What the groups go by.
-        scope: KeyScope,
+        scope: DeduplicationScope,
         /// The group; `None` where it is not known, and no engine may get the request.
         group: Option<u64>,
     },
@@ -240,7 +241,7 @@
         let Some(run) = run else { return Self::AnyEngine };
         match (check_repetition(idempotency, Some(run.sent), now), idempotency) {
             (Err(refusal), _) => Self::NoEngine(refusal),
-            (Ok(()), Idempotency::Keyed { scope, .. }) if scope != KeyScope::All => {
+            (Ok(()), Idempotency::Keyed { scope, .. }) if scope != DeduplicationScope::All => {
                 Self::OneGroup { scope, group: run.group }
             }
             (Ok(()), _) => Self::AnyEngine,
--- a/src/policy/retry_policy/tests.rs
+++ b/src/policy/retry_policy/tests.rs
@@ -6,7 +6,7 @@
 use crate::policy::tests::{at_ms, request, settings};
 use std::time::Duration;
 
-fn keyed(scope: KeyScope) -> Idempotency {
+fn keyed(scope: DeduplicationScope) -> Idempotency {
     Idempotency::Keyed { scope, window: Duration::from_millis(500) }
 }
 
@@ -27,8 +27,8 @@
     assert_eq!(check(Idempotency::Idempotent, 2, 0), Ok(()));
     assert_eq!(check(Idempotency::Idempotent, 3, 0), Err(RetryRefusal::AttemptsUsed));
     assert_eq!(check(Idempotency::NonIdempotent, 1, 0), Err(RetryRefusal::NotIdempotent));
-    assert_eq!(check(keyed(KeyScope::All), 1, 499), Ok(()));
-    assert_eq!(check(keyed(KeyScope::All), 1, 500), Err(RetryRefusal::IdempotencyWindowOver));
+    assert_eq!(check(keyed(DeduplicationScope::All), 1, 499), Ok(()));
+    assert_eq!(check(keyed(DeduplicationScope::All), 1, 500), Err(RetryRefusal::IdempotencyWindowOver));
 }
 
 #[test]
@@ -39,20 +39,24 @@
         RepetitionRule::new(keyed(scope), run, at_ms(0)).exclusion(&engine)
     };
     let other_group = Some(ExclusionReason::OtherDeduplicationGroup);
-    assert_eq!(exclusion(KeyScope::Zone, run, Some(3)), None);
-    assert_eq!(exclusion(KeyScope::Zone, run, Some(4)), other_group);
-    assert_eq!(exclusion(KeyScope::Zone, run, None), other_group);
-    assert_eq!(exclusion(KeyScope::All, run, None), None);
-    assert_eq!(exclusion(KeyScope::Zone, None, None), None, "nothing may have run");
+    assert_eq!(exclusion(DeduplicationScope::Zone, run, Some(3)), None);
+    assert_eq!(exclusion(DeduplicationScope::Zone, run, Some(4)), other_group);
+    assert_eq!(exclusion(DeduplicationScope::Zone, run, None), other_group);
+    assert_eq!(exclusion(DeduplicationScope::All, run, None), None);
+    assert_eq!(exclusion(DeduplicationScope::Zone, None, None), None, "nothing may have run");
     let unknown_group = Some(PossibleRun { group: None, sent: at_ms(0) });
-    assert_eq!(exclusion(KeyScope::Zone, unknown_group, None), other_group, "two unknown groups may differ");
+    assert_eq!(
+        exclusion(DeduplicationScope::Zone, unknown_group, None),
+        other_group,
+        "two unknown groups may differ"
+    );
 }
 
 #[test]
 fn budget_allows_free_retries_and_a_share_of_the_requests_in_the_window() {
     let mut settings = settings();
     let window = Duration::from_secs(1);
-    settings.rules.retry_budget = Some(RetryBudgetSettings { free: 1.0, ratio: 0.5, window });
+    settings.rules.retry_budget = Some(RetryBudgetSettings { free_retries: 1.0, ratio: 0.5, window });
     let (mut policy, gateways) = (RetryPolicy::new(&settings), GatewayCounts::new(1));
     (0..2).for_each(|_| policy.record_request(at_ms(0)));
     for _ in 0..2 {
--- a/src/scheduler/events.rs
+++ b/src/scheduler/events.rs
@@ -92,7 +92,7 @@
         if let Some(engine) = self.engines.get_mut(attempt.engine) {
             engine.attempts.record_response(self.now);
         }
-        let ProgressReport::Done(done_share) = report else { return };
+        let ProgressReport::FractionDone(done_share) = report else { return };
         match self.progress_verdict(id, number, done_share) {
             Some(ProgressVerdict::CancelForRetry { projected_us }) => {
                 if self.cancel_for_retry(id, actions)
--- a/tests/abandoned_work.rs
+++ b/tests/abandoned_work.rs
@@ -60,7 +60,7 @@
     let mut fixture = SchedulerFixture::new(settings, 4);
     let mut tracked = Vec::new();
     for round in 0..2000u64 {
-        let id = fixture.arrive_with(QUICK, |arrival| arrival.ordering_key = Some(KeyId(round)));
+        let id = fixture.arrive_with(QUICK, |arrival| arrival.ordering_key = Some(OrderingKeyId(round)));
         fixture.advance(ms(20));
         fixture.end_attempt(id, 0, Outcome::Ok);
         fixture.actions.clear();
--- a/tests/decision_record/disturbances.rs
+++ b/tests/decision_record/disturbances.rs
@@ -135,7 +135,7 @@
             load: None,
         };
         self.events.extend([
-            Event::Progress { request, attempt, report: ProgressReport::Done(0.5) },
+            Event::Progress { request, attempt, report: ProgressReport::FractionDone(0.5) },
             Event::StreamStarted { request: known, attempt },
             Event::BoundToGroup(request),
             Event::ClientDisconnected(request),
--- a/tests/decision_record/encoding.rs
+++ b/tests/decision_record/encoding.rs
@@ -94,7 +94,7 @@
 
 fn report_kind(report: ProgressReport) -> &'static str {
     match report {
-        ProgressReport::Done(_) => "report done",
+        ProgressReport::FractionDone(_) => "report done",
         ProgressReport::Spilling(_) => "report spilling",
         ProgressReport::WaitingForMemory => "report waiting-for-memory",
         ProgressReport::WaitingForLoad => "report waiting-for-load",
--- a/tests/decision_record/simulation.rs
+++ b/tests/decision_record/simulation.rs
@@ -139,9 +139,9 @@
         let mut arrival = Arrival::new(RequestId(0), ClassId(class), settings.classes[class].deadline);
         arrival.tenant = TenantId(random.below(settings.tenants.len() as u64) as usize);
         let with_key = load.ordering_keys > 0 && random.chance(0.8);
-        arrival.ordering_key = with_key.then(|| KeyId(random.below(load.ordering_keys)));
+        arrival.ordering_key = with_key.then(|| OrderingKeyId(random.below(load.ordering_keys)));
         let with_group = load.table_groups > 0 && random.chance(0.8);
-        arrival.table_group = with_group.then(|| GroupId(random.below(load.table_groups)));
+        arrival.table_group = with_group.then(|| TableGroupId(random.below(load.table_groups)));
         if load.has_estimates {
             let work = Duration::from_micros(random.around(load.work));
             arrival.work = random.chance(0.8).then_some(work);
@@ -193,8 +193,8 @@
             0 => ProgressReport::WaitingForMemory,
             1 => ProgressReport::WaitingForLoad,
             2 => ProgressReport::Spilling(12.0),
-            3 if elapsed > 0.5 => ProgressReport::Done(f64::NAN),
-            _ => ProgressReport::Done(elapsed * (0.8 + 0.4 * self.random.unit())),
+            3 if elapsed > 0.5 => ProgressReport::FractionDone(f64::NAN),
+            _ => ProgressReport::FractionDone(elapsed * (0.8 + 0.4 * self.random.unit())),
         };
         self.events.push(Event::Progress { request, attempt, report });
         let next = self.now + interval.as_micros() as u64;
--- a/tests/decision_record/streams.rs
+++ b/tests/decision_record/streams.rs
@@ -31,7 +31,7 @@
     let mut settings = settings(three_classes());
     settings.engine.priorities = true;
     settings.limits.max_attempts = 4;
-    settings.rules.retry_budget = Some(RetryBudget { free: 1.0, ratio: 0.01, window: seconds(2) });
+    settings.rules.retry_budget = Some(RetryBudget { free_retries: 1.0, ratio: 0.01, window: seconds(2) });
     let mut load = three_loads(1.6);
     load[0].has_estimates = true;
     load[2].has_estimates = true;
@@ -55,7 +55,7 @@
 pub fn failing_engines() -> Scenario {
     let mut settings = settings(three_classes());
     settings.limits.max_attempts = 4;
-    settings.rules.retry_budget = Some(RetryBudget { free: 4.0, ratio: 0.1, window: seconds(3) });
+    settings.rules.retry_budget = Some(RetryBudget { free_retries: 4.0, ratio: 0.1, window: seconds(3) });
     let mut load = three_loads(1.0);
     load[0].faulty_queries = 0.01;
     Scenario {
@@ -140,9 +140,9 @@
 /// Retries of what may have run: idempotency keys of each scope, and requests with none.
 pub fn idempotency_keys() -> Scenario {
     let scopes = [
-        Idempotency::Keyed { scope: KeyScope::All, window: ms(1200) },
-        Idempotency::Keyed { scope: KeyScope::Zone, window: seconds(4) },
-        Idempotency::Keyed { scope: KeyScope::Cell, window: ms(2500) },
+        Idempotency::Keyed { scope: DeduplicationScope::All, window: ms(1200) },
+        Idempotency::Keyed { scope: DeduplicationScope::Zone, window: seconds(4) },
+        Idempotency::Keyed { scope: DeduplicationScope::Cell, window: ms(2500) },
         Idempotency::NonIdempotent,
     ];
     let class = |idempotency| ClassSettings { idempotency, ..ClassSettings::new(ms(200), seconds(3)) };
@@ -179,7 +179,7 @@
 pub fn ordering_and_loads() -> Scenario {
     let ordered = ClassSettings {
         in_order: true,
-        idempotency: Idempotency::Keyed { scope: KeyScope::All, window: seconds(2) },
+        idempotency: Idempotency::Keyed { scope: DeduplicationScope::All, window: seconds(2) },
         ..ClassSettings::new(ms(150), seconds(2))
     };
     let bulk_load =
--- a/tests/engine_selection.rs
+++ b/tests/engine_selection.rs
@@ -67,7 +67,8 @@
     let mut settings = settings();
     settings.classes[LONG].is_load = true;
     let mut fixture = SchedulerFixture::new(settings, 1);
-    let mut load = |group| fixture.arrive_with(LONG, |arrival| arrival.table_group = Some(GroupId(group)));
+    let mut load =
+        |group| fixture.arrive_with(LONG, |arrival| arrival.table_group = Some(TableGroupId(group)));
     let (first, second, other) = (load(1), load(1), load(2));
     assert_eq!([first, second, other].map(|id| fixture.engines_tried(id).len()), [1, 0, 1]);
     fixture.end_attempt(first, 0, Outcome::Ok);
--- a/tests/properties/rule_checker.rs
+++ b/tests/properties/rule_checker.rs
@@ -46,7 +46,7 @@
     pub now: u64,
     pub open: BTreeMap<RequestId, OpenRequest>,
     engines: BTreeMap<EngineId, ListedEngine>,
-    ordering: BTreeMap<KeyId, OrderingQueue>,
+    ordering: BTreeMap<OrderingKeyId, OrderingQueue>,
     arrivals: Vec<u64>,
     retries: Vec<u64>,
 }
@@ -141,7 +141,9 @@
             Action::Reject { request, .. } => {
                 let open = &self.open[request];
                 let is_harmless = match self.class(open).idempotency {
-                    Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. } => true,
+                    Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => {
+                        true
+                    }
                     _ => open.possible_run.is_none() && open.in_flight.is_none(),
                 };
                 assert!(is_harmless, "rejected though it may have run");
@@ -232,9 +234,9 @@
             Idempotency::Keyed { scope, window } => {
                 assert!(self.now <= sent + micros(window), "the deduplication window is over");
                 match scope {
-                    KeyScope::All => {}
-                    KeyScope::Zone => assert_eq!(first.zone, entry.zone),
-                    KeyScope::Cell => assert_eq!(first.cell, entry.cell),
+                    DeduplicationScope::All => {}
+                    DeduplicationScope::Zone => assert_eq!(first.zone, entry.zone),
+                    DeduplicationScope::Cell => assert_eq!(first.cell, entry.cell),
                 }
             }
         }
@@ -253,7 +255,7 @@
         self.retries.push(self.now);
         let window = micros(budget.window);
         let recent = |times: &[u64]| times.iter().filter(|time| **time + window > self.now).count() as f64;
-        let allowed = budget.free + budget.ratio * recent(&self.arrivals);
+        let allowed = budget.free_retries + budget.ratio * recent(&self.arrivals);
         assert!(recent(&self.retries) <= allowed, "beyond the retry budget");
     }
 }
--- a/tests/properties/schedule.rs
+++ b/tests/properties/schedule.rs
@@ -131,8 +131,8 @@
         Arrival {
             request: RequestId(self.last_request),
             class: ClassId(random.below(4) as usize),
-            ordering_key: random.one_in(2).then(|| KeyId(random.below(5))),
-            table_group: random.one_in(2).then(|| GroupId(random.below(3))),
+            ordering_key: random.one_in(2).then(|| OrderingKeyId(random.below(5))),
+            table_group: random.one_in(2).then(|| TableGroupId(random.below(3))),
             time_left: ms(random.below(2000)),
             work: random.one_in(3).then(|| Duration::from_secs(random.below(1 << 50))),
             memory_mb: random.one_in(2).then_some([f64::NAN, 0.0, 100.0, -5.0][random.below(4) as usize]),
@@ -142,7 +142,7 @@
 
     fn add_events_with_unknown_ids(&self, events: &mut Vec<Event>) {
         let (request, attempt) = (RequestId(self.last_request + 1000), AttemptNo(3));
-        events.push(Event::Progress { request, attempt, report: ProgressReport::Done(0.5) });
+        events.push(Event::Progress { request, attempt, report: ProgressReport::FractionDone(0.5) });
         events.push(Event::ClientDisconnected(request));
         events.push(Event::Arrival(Arrival::new(request, ClassId(99), ms(100))));
         let (engine, outcome) = (EngineId(77), Outcome::Ok);
@@ -163,7 +163,7 @@
     settings.engine.grants = random.one_in(2);
     settings.engine.priorities = random.one_in(2);
     settings.engine.progress_interval = random.one_in(2).then(|| ms(200));
-    let budget = RetryBudget { free: 2.0, ratio: 0.2, window: ms(1000) };
+    let budget = RetryBudget { free_retries: 2.0, ratio: 0.2, window: ms(1000) };
     settings.rules.retry_budget = random.one_in(2).then_some(budget);
     settings
 }
@@ -172,9 +172,9 @@
     let idempotency = [
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
-        Idempotency::Keyed { scope: KeyScope::All, window: ms(800) },
-        Idempotency::Keyed { scope: KeyScope::Zone, window: ms(2000) },
-        Idempotency::Keyed { scope: KeyScope::Cell, window: ms(2000) },
+        Idempotency::Keyed { scope: DeduplicationScope::All, window: ms(800) },
+        Idempotency::Keyed { scope: DeduplicationScope::Zone, window: ms(2000) },
+        Idempotency::Keyed { scope: DeduplicationScope::Cell, window: ms(2000) },
     ];
     ClassSettings {
         idempotency: idempotency[random.below(5) as usize],
@@ -212,8 +212,8 @@
 
 fn draw_report(random: &mut Random) -> ProgressReport {
     let reports = [
-        ProgressReport::Done(0.01),
-        ProgressReport::Done(f64::NAN),
+        ProgressReport::FractionDone(0.01),
+        ProgressReport::FractionDone(f64::NAN),
         ProgressReport::Spilling(-1.0),
         ProgressReport::WaitingForLoad,
     ];
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -37,7 +37,7 @@
     fixture.serve(LONG, 10, ms(500));
     let id = fixture.arrive(LONG);
     fixture.advance(ms(500));
-    fixture.report_progress(id, 0, ProgressReport::Done(0.01));
+    fixture.report_progress(id, 0, ProgressReport::FractionDone(0.01));
     assert!(fixture.is_cancelled(id), "a hundredth done in the usual time: a bad plan");
     fixture.end_attempt(id, 0, Outcome::Ok);
     fixture.advance(ms(200));
@@ -53,7 +53,7 @@
         let id = fixture.arrive(LONG);
         for attempt in 0..2 {
             fixture.advance(ms(500));
-            fixture.report_progress(id, attempt, ProgressReport::Done(0.1));
+            fixture.report_progress(id, attempt, ProgressReport::FractionDone(0.1));
             let is_last = fixture.engines_tried(id).len() as u32 == attempt + 1;
             if is_last && fixture.is_cancelled(id) && attempt == 0 {
                 fixture.end_attempt(id, 0, Outcome::Cancelled);
@@ -75,7 +75,7 @@
     let id = fixture.arrive(LONG);
     for attempt in 0..3 {
         fixture.advance(ms(500));
-        fixture.report_progress(id, attempt, ProgressReport::Done(0.01));
+        fixture.report_progress(id, attempt, ProgressReport::FractionDone(0.01));
         fixture.end_attempt(id, attempt, Outcome::Cancelled);
     }
     assert_eq!(fixture.engines_tried(id).len(), 3, "two retries, each with a new plan");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -45,7 +45,7 @@
 
 #[test]
 fn keyed_request_is_retried_only_in_its_group_and_window() {
-    for (scope, cell) in [(KeyScope::Zone, 1), (KeyScope::Cell, 7)] {
+    for (scope, cell) in [(DeduplicationScope::Zone, 1), (DeduplicationScope::Cell, 7)] {
         let mut settings = settings();
         settings.classes[QUICK].idempotency = Idempotency::Keyed { scope, window: ms(1000) };
         let mut fixture = SchedulerFixture::new(settings, 0);
@@ -123,7 +123,8 @@
     settings.classes[QUICK].late_weight = 1.0;
     settings.rules.order_settle = ms(400);
     let mut fixture = SchedulerFixture::new(settings, 3);
-    let ids = [(); 3].map(|()| fixture.arrive_with(QUICK, |arrival| arrival.ordering_key = Some(KeyId(1))));
+    let ids =
+        [(); 3].map(|()| fixture.arrive_with(QUICK, |arrival| arrival.ordering_key = Some(OrderingKeyId(1))));
     assert_eq!(ids.map(|id| fixture.engines_tried(id).len()), [1, 0, 0]);
     fixture.end_attempt(ids[0], 0, Outcome::Ok);
     assert_eq!(fixture.engines_tried(ids[1]).len(), 1);
@@ -157,7 +158,7 @@
 #[test]
 fn retries_stay_within_their_budget() {
     let mut settings = settings();
-    settings.rules.retry_budget = Some(RetryBudget { free: 2.0, ratio: 0.1, window: ms(1000) });
+    settings.rules.retry_budget = Some(RetryBudget { free_retries: 2.0, ratio: 0.1, window: ms(1000) });
     settings.limits.max_attempts = 6;
     let mut fixture = SchedulerFixture::new(settings, 4);
     for _ in 0..10 {
@@ -188,7 +189,8 @@
 /// Engines 0 and 1 in a zone each, and a class whose retries are deduplicated within a zone.
 fn two_zones() -> SchedulerFixture {
     let mut settings = settings();
-    settings.classes[QUICK].idempotency = Idempotency::Keyed { scope: KeyScope::Zone, window: ms(1000) };
+    settings.classes[QUICK].idempotency =
+        Idempotency::Keyed { scope: DeduplicationScope::Zone, window: ms(1000) };
     let mut fixture = SchedulerFixture::new(settings, 0);
     let entry = |id| EngineEntry { zone: Some(ZoneId(id as usize)), ..EngineEntry::new(EngineId(id)) };
     fixture.list_engines(vec![entry(0), entry(1)]);
