--- a/simulator-adapter/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -44,7 +44,7 @@
     let no_settings = r#"{"AtTimeUs":1,"inbox":[{"op":"Spawn","ControllerId":0,"BootInfo":{}}]}"#;
     for (line, message) in [
         (unknown_sheet.as_str(), "line 1: event 2: names a sheet not sent"),
-        (no_class, "line 1: event 1: settings: classes: there is none"),
+        (no_class, "line 1: event 1: settings: classes: must not be empty"),
         (no_settings, "line 1: event 1: BootInfo: missing field `RequestClasses`"),
         ("no batch", "line 1: expected"),
     ] {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,7 @@
-//! The scheduler: decisions of an admission controller (a *gateway*) for queries on a pool of database
-//! engines.
+//! Scheduling decisions of a *gateway*: an admission controller for queries to a pool of database engines.
 //!
-//! The crate does no I/O and reads no clock. A controller feeds [`Event`]s to a [`Scheduler`] and carries out
-//! the [`Action`]s that come back; the same settings, seed and events always give the same actions.
+//! The crate performs no I/O and reads no clock. A controller passes [`Event`]s to a [`Scheduler`] and
+//! executes the returned [`Action`]s; the same settings, seed and events always produce the same actions.
 //!
 //! ```
 //! use reedwalk_scheduler::*;
@@ -10,7 +9,7 @@
 //!
 //! let class = ClassSettings::new(Duration::from_millis(300), Duration::from_millis(1500));
 //! let settings = Settings::new(vec![class], vec![KindSettings { cores: 16, memory_mb: 32768.0 }]);
-//! let mut scheduler = Scheduler::new(settings, 7).expect("sound settings");
+//! let mut scheduler = Scheduler::new(settings, 7).expect("valid settings");
 //!
 //! let engine = EngineEntry::new(EngineId(1));
 //! let events = [
--- a/src/policy/engine_selection.rs
+++ b/src/policy/engine_selection.rs
@@ -13,7 +13,7 @@
 use crate::interface::{
     ClassId, ClassSettings, EngineExclusion, EngineId, EngineState, ExclusionReason, Settings,
 };
-use crate::state::{EngineRecord, EngineTable, RequestRecord, RequestTable, mix};
+use crate::state::{EngineRecord, EngineTable, RequestRecord, RequestTable, mix64};
 use crate::time::{TimeSpan, Timestamp};
 
 /// Slowdown that a new connection counts for: an engine with no connection of this gateway is taken where the
@@ -179,7 +179,7 @@
     #[inline]
     fn placement_exclusion(&self, engine: &EngineRecord) -> Option<ExclusionReason> {
         let (entry, class) = (&engine.entry, self.class);
-        if engine.gone {
+        if engine.out_of_service {
             let is_draining = entry.state == EngineState::Draining;
             return Some(if is_draining { ExclusionReason::Draining } else { ExclusionReason::NotInService });
         }
@@ -241,7 +241,7 @@
             slowdown_steps: ((slowdown + connect_penalty) * SLOWDOWN_STEPS) as u64,
             is_in_other_zone: context.settings.zone.is_some() && engine.entry.zone != context.settings.zone,
             last_sent: engine.attempts.last_sent(),
-            tie_breaker: mix(u64::from(id.0) ^ context.seed),
+            tie_breaker: mix64(u64::from(id.0) ^ context.seed),
             engine: id,
         }
     }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -197,7 +197,7 @@
 /// where at most a fifth of the engines in service (or one) is ejected on gossip; then it is on probation.
 pub(crate) fn eject_on_gossip(engines: &mut EngineTable, id: EngineId, duration: TimeSpan, now: Timestamp) {
     let in_service = engines.in_service().count() as f64;
-    let others = engines.iter().filter(|(other, engine)| !engine.gone && *other != id);
+    let others = engines.iter().filter(|(other, engine)| !engine.out_of_service && *other != id);
     let ejected = others.filter(|(_, engine)| engine.health.gossip_ejected_until > now).count() as f64;
     let is_permitted = ejected + 1.0 <= (in_service * MAX_GOSSIP_EJECTED_SHARE).max(1.0) && in_service > 1.0;
     if let Some(engine) = engines.get_mut(id).filter(|_| is_permitted) {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -6,7 +6,7 @@
 
 use super::gateway_counts::GatewayCounts;
 use crate::interface::{ClassId, Settings};
-use crate::state::{EngineRecord, mix};
+use crate::state::{EngineRecord, mix64};
 use crate::time::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
@@ -180,9 +180,9 @@
     /// gateways begin at different times.
     fn draw(&self, engine: &EngineRecord, class: ClassId, window: TimeSpan, now: Timestamp) -> f64 {
         let offset = TimeSpan::from_micros((self.seed % window.as_micros() as u64) as i64);
-        let window_number = (now + offset).span_number(window);
-        let engine_and_class = mix(u64::from(engine.entry.engine.0) << 8 | class.0 as u64);
-        mix(self.seed ^ mix(window_number) ^ engine_and_class) as f64 / u64::MAX as f64
+        let window_number = (now + offset).interval_index(window);
+        let engine_and_class = mix64(u64::from(engine.entry.engine.0) << 8 | class.0 as u64);
+        mix64(self.seed ^ mix64(window_number) ^ engine_and_class) as f64 / u64::MAX as f64
     }
 
     /// A class's usual work is sent to an engine: it counts towards the usual rate if the engine is warm, and
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -53,7 +53,7 @@
     engine.slow_start.set_started(at_ms(0));
     let admitted =
         |seed| SlowStart::new(&settings(), seed).admits(&query(1000.0), &engine, &gateways, at_ms(0));
-    let sent = (0..100).filter(|seed| admitted(crate::state::mix(*seed))).count();
+    let sent = (0..100).filter(|seed| admitted(crate::state::mix64(*seed))).count();
     // The rule allows 2.5 times 0.3 of 32 s of work: 24 queries.
     assert!((1..=24).contains(&sent), "{sent}");
 }
--- a/src/scheduler/answers.rs
+++ b/src/scheduler/answers.rs
@@ -1,4 +1,4 @@
-//! Final answers, and requests whose client has gone.
+//! Final answers to requests, and requests whose client has disconnected.
 
 use super::Scheduler;
 use crate::interface::{Action, AttemptNo, RequestId};
@@ -6,8 +6,8 @@
 use crate::policy::resource_grants::{Priority, is_demoted};
 
 impl Scheduler {
-    /// Ends a request: rejected where a retry is harmless, failed otherwise.
-    pub(super) fn answer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Ends a request: rejects it if a retry is harmless, fails it otherwise.
+    pub(super) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if let Some(attempt) = &request.in_flight
             && self.settings.limits.cancel
@@ -23,7 +23,7 @@
         self.requests.remove(id);
     }
 
-    /// A request's client has disconnected: its attempt is cancelled, or goes on at the lowest priority.
+    /// Handles a client's disconnect: cancels the attempt, or lets it continue at the lowest priority.
     pub(super) fn on_disconnect(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if let Some(attempt) = &request.in_flight
@@ -36,7 +36,7 @@
         self.requests.remove(id);
     }
 
-    /// Abandoned work that cannot be cancelled goes on at the lowest priority, where engines respect one.
+    /// Reduces abandoned work that cannot be cancelled to the lowest priority, if engines respect priorities.
     pub(super) fn demote_abandoned(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if is_demoted(request, &self.settings) {
--- a/src/scheduler/attempts.rs
+++ b/src/scheduler/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how they end, what is learned from that, and how they are cancelled for another.
+//! Handling of ended attempts, the statistics they update, and cancellation in favour of a retry.
 
 use super::Scheduler;
 use crate::interface::{
@@ -8,64 +8,65 @@
 use crate::policy::class_estimates::CompletedQuery;
 use crate::policy::load_evidence::{SlowdownPrior, reported_utilization, slowdown_at_utilization};
 use crate::policy::outlier_detection::{self, OutlierVerdict};
-use crate::state::{EndedAttempt, InFlightAttempt, PossibleRun, RequestRecord};
+use crate::state::{FinishedAttempt, InFlightAttempt, PossibleRun, RequestRecord};
 
 impl Scheduler {
-    /// An attempt has ended: learns from it, and sends the request back to its queue or answers it.
+    /// Handles the end of an attempt: updates the statistics, then requeues or ends the request.
     pub(super) fn on_attempt_ended(&mut self, event: &AttemptEnded, actions: &mut Vec<Action>) {
         let AttemptEnded { request: id, outcome, closed, .. } = *event;
         let Some(mut ended) = self.requests.take_attempt(id, event.attempt) else { return };
         self.release_engine(&ended, outcome);
-        let is_at_fault = self.evaluate_outcome(&mut ended, outcome, actions);
-        self.learn_from(&mut ended, event);
-        let EndedAttempt { request, is_open, .. } = ended;
+        let request_at_fault = self.evaluate_outcome(&mut ended, outcome, actions);
+        self.record_attempt_result(&mut ended, event);
+        let FinishedAttempt { request, is_open, .. } = ended;
         if outcome.may_still_run() {
             let until = self.now + self.settings.rules.order_settle.into();
             self.requests.settle_ordering_key(&request, until);
         }
-        let wants_retry = !is_at_fault && !request.streaming && self.now < request.deadline;
+        let wants_retry = !request_at_fault && !request.streaming && self.now < request.deadline;
         let may_retry = wants_retry && self.may_retry(&request);
         self.requests.restore(request);
-        // Answered before, and only its engine and its ordering key waited for it; or answered now.
+        // Either the request was answered earlier and was kept only until its engine and its ordering key
+        // were released, or this attempt answers it.
         if !is_open || closed || outcome == Outcome::Ok {
             self.requests.remove(id);
         } else if may_retry {
             self.requests.enqueue(id);
         } else {
-            self.answer(id, actions);
+            self.reject_or_fail(id, actions);
         }
     }
 
-    fn release_engine(&mut self, ended: &EndedAttempt, outcome: Outcome) {
-        let EndedAttempt { request, attempt, .. } = ended;
+    fn release_engine(&mut self, ended: &FinishedAttempt, outcome: Outcome) {
+        let FinishedAttempt { request, attempt, .. } = ended;
         let threads = f64::from(self.settings.classes[request.arrival.class.0].threads);
         let Some(engine) = self.engines.get_mut(attempt.engine) else { return };
         engine.attempts.remove(request.arrival.request, threads);
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::Reset) {
             engine.attempts.record_response(self.now);
         } else if outcome == Outcome::TimedOut && !self.settings.limits.cancel {
-            // The client has gone, but nothing stops the attempt: it loads the engine for about as long
-            // again. Guards against congestion by abandoned work; costs capacity where engines do stop at a
-            // time-out.
+            // The client no longer waits, but nothing stops the attempt: assume that it uses the engine for
+            // as long again. This prevents congestion by abandoned work; it costs capacity if engines do stop
+            // a query at its timeout.
             engine.attempts.add_abandoned(self.now + (self.now - attempt.sent), threads);
         }
     }
 
-    /// Evaluates the engine by the outcome. A request's second error is its own fault: no engine is blamed
-    /// again, and a third would answer the same. Returns whether the request is at fault.
+    /// Updates the engine's health with the outcome. A second error is attributed to the request: it does not
+    /// count against the engine, and another attempt would fail too. Returns whether the request is at fault.
     fn evaluate_outcome(
         &mut self,
-        ended: &mut EndedAttempt,
+        ended: &mut FinishedAttempt,
         outcome: Outcome,
         actions: &mut Vec<Action>,
     ) -> bool {
         let is_error = outcome == Outcome::Error;
-        let is_at_fault = is_error && ended.request.had_error;
+        let request_at_fault = is_error && ended.request.had_error;
         ended.request.had_error |= is_error;
-        if !is_at_fault {
+        if !request_at_fault {
             self.evaluate_engine(ended.attempt.engine, outcome, actions);
         }
-        is_at_fault
+        request_at_fault
     }
 
     fn evaluate_engine(&mut self, id: EngineId, outcome: Outcome, actions: &mut Vec<Action>) {
@@ -75,7 +76,7 @@
             OutlierVerdict::Full => {
                 engine.limit.mark_full(self.now);
                 engine.load.record_rejection();
-                self.pool.record_rejection();
+                self.pool_load.record_rejection();
             }
             OutlierVerdict::Failed { refused_connection, is_outlier } => {
                 if refused_connection {
@@ -89,7 +90,7 @@
         self.observe_slowdown(id, MAX_SLOWDOWN);
     }
 
-    /// Ejects an engine for a while, unless too many are ejected already. Returns whether it did.
+    /// Ejects an engine temporarily unless too many are ejected already. Returns whether it was ejected.
     pub(super) fn eject(&mut self, engine: EngineId, unresponsive: bool, actions: &mut Vec<Action>) -> bool {
         let Some(duration) = outlier_detection::eject(&mut self.engines, engine, self.now) else {
             return false;
@@ -98,9 +99,9 @@
         true
     }
 
-    /// Learns the engine's load from its report; from a served query the class's estimates and the engine's
-    /// load; from any other what the attempt binds its request to.
-    fn learn_from(&mut self, ended: &mut EndedAttempt, event: &AttemptEnded) {
+    /// Records the engine's load report. A served query also updates the class's estimates and the engine's
+    /// load; any other attempt that may have run restricts the retries of its request.
+    fn record_attempt_result(&mut self, ended: &mut FinishedAttempt, event: &AttemptEnded) {
         if let Some(load) = &event.load {
             self.record_load(ended.attempt.engine, load);
         }
@@ -118,10 +119,10 @@
         if let Some(engine) = self.engines.get_mut(id) {
             engine.load.record_utilization(utilization);
         }
-        self.pool.record_utilization(utilization);
+        self.pool_load.record_utilization(utilization);
     }
 
-    fn record_completion(&mut self, ended: &EndedAttempt, usage: Option<ResourceUsage>) {
+    fn record_completion(&mut self, ended: &FinishedAttempt, usage: Option<ResourceUsage>) {
         let (request, engine_id) = (&ended.request, ended.attempt.engine);
         let class = request.arrival.class;
         let query = CompletedQuery {
@@ -135,28 +136,28 @@
         if let Some(engine) = self.engines.get_mut(engine_id) {
             engine.load.record_completion(class, &sample);
         }
-        self.pool.record_completion(class, &sample);
+        self.pool_load.record_completion(class, &sample);
         if let Some(slowdown) = sample.slowdown {
             self.observe_slowdown(engine_id, slowdown);
         }
     }
 
     fn observe_slowdown(&mut self, engine: EngineId, slowdown: f64) {
-        let prior = SlowdownPrior::new(&self.pool, &self.estimates);
+        let prior = SlowdownPrior::new(&self.pool_load, &self.estimates);
         if let Some(engine) = self.engines.get_mut(engine) {
             engine.slowdown.observe(slowdown, &prior, self.now);
         }
     }
 
-    /// Several other gateways observe how slow an engine is.
+    /// Records the slowdown of an engine as observed by several other gateways.
     pub(super) fn observe_slowdown_by_gossip(&mut self, engine: EngineId, slowdown: f64) {
-        let prior = SlowdownPrior::new(&self.pool, &self.estimates);
+        let prior = SlowdownPrior::new(&self.pool_load, &self.estimates);
         if let Some(engine) = self.engines.get_mut(engine) {
             engine.slowdown.observe_gossip(slowdown, &prior, self.now);
         }
     }
 
-    /// What an attempt that may have run binds its request to.
+    /// Deduplication group and send time of an attempt that may have run, which restrict later attempts.
     pub(super) fn possible_run(&self, request: &RequestRecord, attempt: &InFlightAttempt) -> PossibleRun {
         let group = match self.settings.classes[request.arrival.class.0].idempotency {
             Idempotency::Keyed { scope, .. } => {
@@ -172,8 +173,8 @@
         self.retry_policy.check_retry(request, idempotency, &self.gateways, self.now).is_ok()
     }
 
-    /// Cancels an attempt for another, where that is allowed and something may come of it. Returns whether it
-    /// did.
+    /// Cancels the attempt in flight in favour of a retry, if that is allowed and may help. Returns whether
+    /// it was cancelled.
     pub(super) fn cancel_for_retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let idempotency = self.settings.classes[request.arrival.class.0].idempotency;
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: sends what may be sent, and explains why an engine is not chosen.
+//! Dispatch of waiting requests, and explanations of why engines were not selected.
 
 use super::Scheduler;
 use crate::interface::{Action, Arrival, ClassId, EngineExclusion, EngineId, RequestId};
@@ -8,16 +8,16 @@
 use crate::state::{InFlightAttempt, RequestRecord};
 
 impl Scheduler {
-    /// For every engine, but the one that would be selected, why a waiting request's next attempt would not
-    /// go there now. Empty for a request that is not open or has an attempt in flight. Changes nothing; meant
-    /// for the debug log, at the cost of two selections.
+    /// Returns why each engine, except the one that would be selected, would not receive a waiting request's
+    /// next attempt now. Empty for a request that is not open or has an attempt in flight. Intended for debug
+    /// logging; costs as much as two selections.
     pub fn explain_selection(&self, request: RequestId) -> Vec<EngineExclusion> {
         let waiting = self.requests.get(request).filter(|request| request.in_flight.is_none());
         waiting.map_or_else(Vec::new, |request| self.explain(request))
     }
 
-    /// The same for the first attempt of a request of a class, with no ordering key and no tables: for a
-    /// request that has ended already. Empty for a class that is not in the settings.
+    /// Like [`Self::explain_selection`], for the first attempt of a hypothetical request of a class, without
+    /// ordering key and table group; use it after a request has ended. Empty for an unknown class.
     pub fn explain_class_selection(&self, class: ClassId) -> Vec<EngineExclusion> {
         let Some(settings) = self.settings.classes.get(class.0) else { return Vec::new() };
         let arrival = Arrival::new(RequestId::default(), class, settings.deadline);
@@ -30,7 +30,7 @@
         Selection::new(&context, request).explain()
     }
 
-    /// Sends what may be sent, in the order of dispatch.
+    /// Sends the waiting requests that may be sent now, in dispatch order.
     pub(super) fn dispatch_requests(&mut self, actions: &mut Vec<Action>) {
         let mut pass = DispatchPass::new(self.estimates.len());
         while let Some(candidate) = pass.next(self.requests.queue(), &self.settings, self.now) {
@@ -42,8 +42,9 @@
             }
             match self.select_engine(request) {
                 Some(engine) => self.send(request, engine, actions),
-                // No capacity for one of a class is none for its next; retries have engines of their own to
-                // look for, and so do bulk loads, which wait for their tables.
+                // If no engine has capacity for one request of a class, none has for the next. This does not
+                // hold for retries, whose allowed engines differ, nor for bulk loads, which wait for their
+                // tables.
                 None if is_retry || self.settings.classes[class.0].is_load => {}
                 None => pass.close_class(class),
             }
@@ -57,8 +58,8 @@
         self.requests.queue().is_first_in_order(key, id, request.attempts > 0, self.now)
     }
 
-    /// The engine for a request, if one has capacity. Marks the limits that were reached, so that they may be
-    /// raised.
+    /// Selects an engine with capacity for a request. Marks the concurrency limits that were reached, so that
+    /// they may be raised.
     fn select_engine(&mut self, id: RequestId) -> Option<EngineId> {
         let request = self.requests.get(id)?;
         let selected = Selection::new(&self.selection_context(), request).select();
--- a/src/scheduler/endpoints.rs
+++ b/src/scheduler/endpoints.rs
@@ -1,11 +1,11 @@
-//! Changes of the pool: the endpoint list, and how many gateways share the engines.
+//! Updates of the endpoint list and of the number of gateways that share the engines.
 
 use super::Scheduler;
 use crate::interface::{EndpointScope, EngineEntry};
 use crate::state::EngineDefaults;
 
 impl Scheduler {
-    /// Takes in the endpoint list, or changes to it.
+    /// Applies the endpoint list, or changes to it.
     pub(super) fn update_endpoints(&mut self, scope: EndpointScope, entries: &[EngineEntry]) {
         let classes = self.estimates.len();
         let defaults = EngineDefaults { classes, gateways: &self.gateways, now: self.now };
@@ -16,15 +16,15 @@
         self.engines.end_update();
     }
 
-    /// Limits and slow-start budgets are parts of what all gateways may do, and go with this process's share
-    /// of one.
+    /// Sets this process's share of the gateway's capacity. Concurrency limits and slow-start budgets are
+    /// fractions of the totals over all gateways, so both scale with it.
     pub(super) fn set_capacity_share(&mut self, share: f64) {
         let change = self.gateways.set_capacity_share(share);
         self.slow_start.scale_rate(change.rate_factor);
         self.scale_limits(change.limit_factor);
     }
 
-    /// So many gateways are alive; fewer than configured carry the load of all.
+    /// Sets the number of live gateways; if fewer than configured, they carry the load of all.
     pub(super) fn set_live_gateways(&mut self, count: f64) {
         let limit_factor = self.gateways.set_live_gateways(count);
         self.scale_limits(limit_factor);
--- a/src/scheduler/events.rs
+++ b/src/scheduler/events.rs
@@ -1,4 +1,4 @@
-//! Events: which part of the scheduler takes in which.
+//! Event handlers.
 
 use super::Scheduler;
 use crate::interface::{Action, Arrival, AttemptNo, Event, ProgressReport, RequestId};
@@ -8,7 +8,6 @@
 use crate::time::{TimeSpan, Timestamp};
 
 impl Scheduler {
-    /// Takes in one event.
     pub(super) fn apply_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
             Event::Endpoints { scope, entries } => self.update_endpoints(*scope, entries),
@@ -39,8 +38,8 @@
         }
     }
 
-    /// A request has arrived: it gets its dispatch target (arrival plus objective minus execution time; the
-    /// objective at most the time that its client waits), and waits in its queue.
+    /// Enqueues a new request. Its dispatch target is arrival plus objective minus execution time, with the
+    /// objective limited to the time that the client waits.
     fn on_arrival(&mut self, arrival: &Arrival, actions: &mut Vec<Action>) {
         let class = arrival.class;
         if class.0 >= self.estimates.len() || self.requests.contains(arrival.request) {
@@ -58,11 +57,11 @@
         self.retry_policy.record_request(self.now);
         self.requests.add(request, self.settings.classes[class.0].in_order);
         if time_left <= TimeSpan::ZERO {
-            self.answer(arrival.request, actions);
+            self.reject_or_fail(arrival.request, actions);
         }
     }
 
-    /// The group that a request's attempt goes to has been recorded elsewhere.
+    /// Restricts a request to the deduplication group of its attempt, which the shared store has recorded.
     fn bind_to_group(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         let run = request.in_flight.as_ref().map(|attempt| self.possible_run(request, attempt));
@@ -78,7 +77,7 @@
         }
     }
 
-    /// An engine reports on a running attempt.
+    /// Handles an engine's report on a running attempt.
     fn on_progress(
         &mut self,
         id: RequestId,
@@ -92,8 +91,8 @@
         if let Some(engine) = self.engines.get_mut(attempt.engine) {
             engine.attempts.record_response(self.now);
         }
-        let ProgressReport::FractionDone(done_share) = report else { return };
-        match self.progress_verdict(id, number, done_share) {
+        let ProgressReport::FractionDone(fraction_done) = report else { return };
+        match self.progress_verdict(id, number, fraction_done) {
             Some(ProgressVerdict::CancelForRetry { projected_us }) => {
                 if self.cancel_for_retry(id, actions)
                     && let Some(request) = self.requests.get_mut(id)
@@ -101,14 +100,19 @@
                     request.bad_plan_time_us = Some(projected_us);
                 }
             }
-            Some(ProgressVerdict::EndRequest) => self.answer(id, actions),
+            Some(ProgressVerdict::EndRequest) => self.reject_or_fail(id, actions),
             Some(ProgressVerdict::Continue) | None => {}
         }
     }
 
-    fn progress_verdict(&self, id: RequestId, number: AttemptNo, done_share: f64) -> Option<ProgressVerdict> {
+    fn progress_verdict(
+        &self,
+        id: RequestId,
+        number: AttemptNo,
+        fraction_done: f64,
+    ) -> Option<ProgressVerdict> {
         let request = self.requests.get(id)?;
         let attempt = request.attempt(number)?;
-        Some(self.retry_policy.evaluate_progress(request, attempt, done_share, &self.estimates, self.now))
+        Some(self.retry_policy.evaluate_progress(request, attempt, fraction_done, &self.estimates, self.now))
     }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,5 +1,5 @@
-//! The scheduler of one gateway: the parts of [`crate::policy`], and the order in which a step runs them. A
-//! step carries out what the parts decide; it decides nothing itself.
+//! The scheduler of one gateway: holds the components of [`crate::policy`] and defines the order in which a
+//! step runs them. All decisions are made by these components.
 
 mod answers;
 mod attempts;
@@ -19,20 +19,20 @@
 use crate::policy::slow_start::SlowStart;
 use crate::state::{EngineTable, RequestTable};
 use crate::time::Timestamp;
-use crate::validation::check;
+use crate::validation::validate_settings;
 
 /// The scheduler of one gateway.
 pub struct Scheduler {
     settings: Settings,
-    /// Time of the present step.
+    /// Time of the current step.
     now: Timestamp,
     /// Breaks ties between engines, differently for each gateway.
     seed: u64,
     gateways: GatewayCounts,
     housekeeping: HousekeepingSchedule,
     estimates: ClassEstimates,
-    /// Evidence of all engines together; it decides for an engine that has too little of its own.
-    pool: LoadEvidence,
+    /// Load evidence of all engines combined; used for engines with too few samples of their own.
+    pool_load: LoadEvidence,
     slow_start: SlowStart,
     retry_policy: RetryPolicy,
     engines: EngineTable,
@@ -40,12 +40,13 @@
 }
 
 impl Scheduler {
-    /// A scheduler that has seen nothing yet. Gateways with the same settings have different seeds.
+    /// Creates a scheduler with no engines and no requests. Gateways with the same settings need different
+    /// seeds.
     ///
     /// # Errors
-    /// Names the first setting that makes no sense.
+    /// Returns an error for the first invalid setting.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        check(&settings)?;
+        validate_settings(&settings)?;
         let classes = settings.classes.len();
         Ok(Self {
             now: Timestamp::ZERO,
@@ -53,7 +54,7 @@
             gateways: GatewayCounts::new(settings.gateways),
             housekeeping: HousekeepingSchedule::new(&settings),
             estimates: ClassEstimates::new(&settings),
-            pool: LoadEvidence::new(classes),
+            pool_load: LoadEvidence::new(classes),
             slow_start: SlowStart::new(&settings, seed),
             retry_policy: RetryPolicy::new(&settings),
             engines: EngineTable::default(),
@@ -62,8 +63,8 @@
         })
     }
 
-    /// Takes in everything that has happened until `now`, then sends what may be sent. Appends its decisions
-    /// to `actions`.
+    /// Processes the events up to `now`, runs periodic work that is due, then dispatches waiting requests.
+    /// Appends the resulting decisions to `actions`.
     pub fn step(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(now.into());
         self.housekeeping.begin_step(self.now);
@@ -75,7 +76,7 @@
         self.dispatch_requests(actions);
     }
 
-    /// Number of things remembered: requests, attempts, engines, keys. For checks that it stays bounded.
+    /// Number of requests, attempts, engines and keys held in memory; lets tests check that it stays bounded.
     pub fn tracked_items(&self) -> usize {
         self.requests.tracked() + self.engines.len() + self.retry_policy.tracked()
     }
@@ -87,7 +88,7 @@
             engines: &self.engines,
             requests: &self.requests,
             estimates: &self.estimates,
-            pool: &self.pool,
+            pool: &self.pool_load,
             slow_start: &self.slow_start,
             gateways: &self.gateways,
             seed: self.seed,
--- a/src/scheduler/observations.rs
+++ b/src/scheduler/observations.rs
@@ -1,6 +1,6 @@
-//! What a gateway observes of the engines, what it reports to others of that, and what another process of it
-//! may restore at its start. Restored statistics are a prior: a few own samples outweigh them. Nothing here
-//! decides anything.
+//! Observations of the engines that a gateway reports to other gateways, and statistics that the gateway's
+//! next process may restore at startup. Restored statistics are a prior that a few new samples outweigh. No
+//! decisions are made here.
 
 use super::Scheduler;
 use crate::interface::{ClassLatencyStats, EngineObservation, EngineState};
@@ -13,12 +13,12 @@
         self.estimates.stats()
     }
 
-    /// Restores latency statistics of the classes, where this process knows nothing of one yet.
+    /// Restores the latency statistics of classes for which this process has no samples yet.
     pub fn restore_class_stats(&mut self, stats: &[Option<ClassLatencyStats>]) {
         self.estimates.restore(stats);
     }
 
-    /// Mean warm-up of the engines in service, from 0 to 1; 1 where there are none.
+    /// Mean warm-up of the engines in service, from 0 to 1; 1 if there are none.
     pub fn mean_warm_up(&self) -> f64 {
         let (mut sum, mut engines) = (0.0, 0);
         for engine in self.engines.in_service() {
@@ -28,19 +28,19 @@
         if engines == 0 { 1.0 } else { sum / f64::from(engines) }
     }
 
-    /// Number of listed engines that nothing is sent to: taken out, draining or ejected.
+    /// Number of listed engines that receive no requests: out of service, draining or ejected.
     pub fn unavailable_engines(&self) -> usize {
         let is_unavailable = |engine: &&EngineRecord| {
             let health = &engine.health;
-            engine.gone || health.is_ejected(self.now) || health.is_gossip_ejected(self.now)
+            engine.out_of_service || health.is_ejected(self.now) || health.is_gossip_ejected(self.now)
         };
         let listed = self.engines.values().filter(|engine| engine.entry.state != EngineState::Removed);
         listed.filter(is_unavailable).count()
     }
 
-    /// What is observed of the engines in service now.
+    /// Current observations of the engines in service.
     pub fn observations(&self) -> impl Iterator<Item = EngineObservation> {
-        let prior = SlowdownPrior::new(&self.pool, &self.estimates);
+        let prior = SlowdownPrior::new(&self.pool_load, &self.estimates);
         self.engines.in_service().map(move |engine| {
             let is_recent = engine.slowdown.is_recent(self.now);
             EngineObservation {
--- a/src/scheduler/periodic.rs
+++ b/src/scheduler/periodic.rs
@@ -1,4 +1,4 @@
-//! Periodic work: rounds of housekeeping, and the end of a control period.
+//! Periodic work: housekeeping rounds and the end of control periods.
 
 use super::Scheduler;
 use crate::interface::{Action, EngineId};
@@ -9,21 +9,19 @@
 use crate::time::TimeSpan;
 
 impl Scheduler {
-    /// Subscribes to the endpoint list, if that is due.
     pub(super) fn subscribe_if_due(&mut self, actions: &mut Vec<Action>) {
         if self.housekeeping.take_subscription(self.now) {
             actions.push(Action::Subscribe);
         }
     }
 
-    /// A round of housekeeping, if one is due.
     pub(super) fn run_housekeeping_if_due(&mut self, actions: &mut Vec<Action>) {
         let Some(round) = self.housekeeping.take_round(self.now) else { return };
         actions.push(Action::WakeAfter(round.interval.to_duration()));
         if round.ends_period {
             self.end_rate_period();
             self.estimates.end_period();
-            self.fade_and_expire();
+            self.decay_and_expire();
         }
         self.survey_in_flight();
         self.update_pressure();
@@ -41,9 +39,9 @@
         self.slow_start.end_period(warm_engines, CONTROL_PERIOD);
     }
 
-    /// Lets old outcomes fade, and forgets what has had its time: abandoned attempts, ordering keys, and what
-    /// lies before the windows of the rules.
-    fn fade_and_expire(&mut self) {
+    /// Decays old outcomes and removes expired state: abandoned attempts, ordering keys, and events older
+    /// than the sliding windows.
+    fn decay_and_expire(&mut self) {
         let slow_start_window = self.now - self.slow_start.window();
         for engine in self.engines.values_mut() {
             engine.health.end_period();
@@ -56,20 +54,20 @@
 
     fn survey_in_flight(&mut self) {
         let survey = InFlightSurvey { now: self.now, settings: &self.settings, estimates: &self.estimates };
-        survey.collect(&self.requests, &mut self.engines, &mut self.pool);
+        survey.collect(&self.requests, &mut self.engines, &mut self.pool_load);
     }
 
     fn update_pressure(&mut self) {
-        let rule = PressureRule { pool: &self.pool, gateways: &self.gateways, now: self.now };
+        let rule = PressureRule { pool: &self.pool_load, gateways: &self.gateways, now: self.now };
         concurrency_limits::update_pressure(&mut self.engines, &rule);
     }
 
     fn end_limit_period(&mut self) {
         let classes = self.estimates.len();
-        concurrency_limits::end_period(&mut self.engines, &mut self.pool, &self.gateways, classes);
+        concurrency_limits::end_period(&mut self.engines, &mut self.pool_load, &self.gateways, classes);
     }
 
-    /// Ejects engines that have gone silent, and cancels what waits there for attempts elsewhere.
+    /// Ejects engines that no longer respond and cancels the attempts waiting there, to retry elsewhere.
     fn eject_silent_engines(&mut self, actions: &mut Vec<Action>) {
         for engine in outlier_detection::silent_engines(&self.engines, self.now) {
             if self.eject(engine, true, actions) && self.settings.limits.cancel {
@@ -79,14 +77,14 @@
     }
 
     fn retry_elsewhere(&mut self, engine: EngineId, actions: &mut Vec<Action>) {
-        let waiting = self.requests.iter().filter(|(_, request)| request.waits_for(engine));
+        let waiting = self.requests.iter().filter(|(_, request)| request.awaits_rows_from(engine));
         for request in waiting.map(|(id, _)| id).collect::<Vec<_>>() {
             self.cancel_for_retry(request, actions);
         }
     }
 
-    /// Looks through the open requests, but those whose rows have begun to arrive. Retries come first, then
-    /// demotions, then answers.
+    /// Reviews the open requests whose rows have not begun to arrive. Applies retries first, then demotions,
+    /// then final answers.
     fn review_requests(&mut self, interval: TimeSpan, actions: &mut Vec<Action>) {
         let was_stalled = self.housekeeping.was_stalled();
         let review = RequestReview::new(&self.settings, &self.estimates, interval, was_stalled, self.now);
@@ -106,7 +104,7 @@
             self.demote_abandoned(id, actions);
         }
         for id in to_answer {
-            self.answer(id, actions);
+            self.reject_or_fail(id, actions);
         }
     }
 }
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,4 +1,4 @@
-//! The explanation of a selection: what it says, and that it changes nothing.
+//! Explanations of engine selections: their content, and that they do not affect the scheduler.
 
 use super::Scheduler;
 use crate::interface::{
@@ -10,15 +10,15 @@
 
 const START_US: u64 = 1_000_000_000;
 
-/// A scheduler with so many engines in service and one class of four threads, on engines of one core each.
-fn scheduler(engines: u32) -> Scheduler {
+/// Creates a scheduler with one class of four threads and the given number of single-core engines.
+fn scheduler_with_engines(engines: u32) -> Scheduler {
     let class = ClassSettings {
         threads: 4,
         late_weight: 1.0,
         ..ClassSettings::new(Duration::from_secs(3), Duration::from_secs(15))
     };
     let kinds = vec![KindSettings { cores: 1, memory_mb: 1024.0 }];
-    let mut scheduler = Scheduler::new(Settings::new(vec![class], kinds), 7).expect("sound settings");
+    let mut scheduler = Scheduler::new(Settings::new(vec![class], kinds), 7).expect("valid settings");
     let entries = (0..engines).map(|id| EngineEntry::new(EngineId(id))).collect();
     let event = Event::Endpoints { scope: EndpointScope::Complete, entries };
     scheduler.step(Time(START_US), &[event], &mut Vec::new());
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn waiting_request_is_explained_engine_by_engine() {
-    let mut scheduler = scheduler(2);
+fn waiting_request_has_a_reason_for_each_engine() {
+    let mut scheduler = scheduler_with_engines(2);
     let draining = EngineEntry { state: EngineState::Draining, ..EngineEntry::new(EngineId(1)) };
     let drain = Event::Endpoints { scope: EndpointScope::Changes, entries: vec![draining] };
     let mut actions = Vec::new();
@@ -49,19 +49,19 @@
     let expected = [excluded(0, ExclusionReason::Paused), excluded(1, ExclusionReason::Draining)];
     assert_eq!(scheduler.explain_selection(RequestId(1)), expected);
     assert_eq!(scheduler.explain_class_selection(ClassId(0)), expected);
-    assert_eq!(scheduler.explain_selection(RequestId(9)), [], "it is not open");
-    assert_eq!(scheduler.explain_class_selection(ClassId(9)), [], "not in the settings");
+    assert_eq!(scheduler.explain_selection(RequestId(9)), [], "request is not open");
+    assert_eq!(scheduler.explain_class_selection(ClassId(9)), [], "class is not in the settings");
 }
 
 #[test]
-fn explanations_change_no_action() {
-    let run = |explains: bool| {
-        let (mut scheduler, mut actions) = (scheduler(3), Vec::new());
+fn explanations_do_not_change_actions() {
+    let run = |with_explanations: bool| {
+        let (mut scheduler, mut actions) = (scheduler_with_engines(3), Vec::new());
         for id in 1..200 {
             let outcome = if id % 5 == 0 { Outcome::Error } else { Outcome::Ok };
             let events = [arrival(id), ended(id.saturating_sub(4), outcome)];
             scheduler.step(Time(START_US + id * 7000), &events, &mut actions);
-            if explains {
+            if with_explanations {
                 scheduler.explain_selection(RequestId(id));
                 scheduler.explain_class_selection(ClassId(0));
             }
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -3,7 +3,7 @@
 use crate::interface::RequestId;
 use crate::time::Timestamp;
 
-/// An attempt that was abandoned and may still run.
+/// An attempt that was abandoned and is assumed to run until `until`.
 struct AbandonedAttempt {
     until: Timestamp,
     threads: f64,
@@ -13,7 +13,7 @@
 #[derive(Default)]
 pub(crate) struct EngineAttempts {
     in_flight: usize,
-    /// Threads of the attempts in flight and of those abandoned.
+    /// Threads of the attempts in flight and of the abandoned attempts.
     threads: f64,
     last_sent: Timestamp,
     last_response: Timestamp,
@@ -23,32 +23,31 @@
 }
 
 impl EngineAttempts {
-    /// No attempt is in flight at an engine that has just been seen.
+    /// State for an engine that was first seen at `now`.
     pub(crate) fn new(now: Timestamp) -> Self {
         Self { last_response: now, ..Self::default() }
     }
 
-    /// The engine has restarted: of the attempts before, only their number and threads stay.
+    /// Resets the state after a restart of the engine; keeps only the number and threads of the attempts.
     pub(crate) fn restarted(self, now: Timestamp) -> Self {
         Self { in_flight: self.in_flight, threads: self.threads, ..Self::new(now) }
     }
 
-    /// Number of attempts in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Threads that the attempts run on, with those that were abandoned and may still run.
+    /// Threads in use by attempts in flight and by abandoned attempts that may still run.
     pub(crate) fn threads(&self) -> f64 {
         self.threads
     }
 
-    /// When an attempt was last sent there; zero for never.
+    /// Time at which an attempt was last sent to the engine; zero means never.
     pub(crate) fn last_sent(&self) -> Timestamp {
         self.last_sent
     }
 
-    /// Last response, or the first send after nothing was in flight.
+    /// Time of the last response, or of the first send after an idle period if that is later.
     pub(crate) fn last_response(&self) -> Timestamp {
         self.last_response
     }
@@ -58,7 +57,7 @@
         &self.loads
     }
 
-    /// An attempt is sent.
+    /// Records the sending of an attempt.
     pub(crate) fn add(&mut self, request: RequestId, threads: f64, is_load: bool, now: Timestamp) {
         if self.in_flight == 0 {
             self.last_response = now;
@@ -71,25 +70,24 @@
         }
     }
 
-    /// An attempt has ended.
+    /// Records the end of an attempt.
     pub(crate) fn remove(&mut self, request: RequestId, threads: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.threads = (self.threads - threads).max(0.0);
         self.loads.retain(|load| *load != request);
     }
 
-    /// The engine has responded.
     pub(crate) fn record_response(&mut self, now: Timestamp) {
         self.last_response = now;
     }
 
-    /// An attempt was abandoned and may go on running until then.
+    /// Records an abandoned attempt that may run until the given time.
     pub(crate) fn add_abandoned(&mut self, until: Timestamp, threads: f64) {
         self.abandoned.push(AbandonedAttempt { until, threads });
         self.threads += threads;
     }
 
-    /// Forgets abandoned attempts that have had their time.
+    /// Removes the abandoned attempts whose time has passed.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         let ended = self.abandoned.iter().filter(|attempt| attempt.until <= now);
         let threads: f64 = ended.map(|attempt| attempt.threads).sum();
--- a/src/state/attempts/tests.rs
+++ b/src/state/attempts/tests.rs
@@ -1,4 +1,4 @@
-//! Attempts at one engine: their number, threads and responses.
+//! Attempts at one engine: number, threads, and response times.
 
 use super::*;
 use crate::time::TimeSpan;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn first_attempt_after_idle_time_counts_as_a_response() {
+fn first_attempt_after_an_idle_period_counts_as_a_response() {
     let mut attempts = EngineAttempts::new(at_ms(10));
     attempts.add(RequestId(1), 2.0, false, at_ms(50));
     attempts.add(RequestId(2), 1.0, true, at_ms(60));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn abandoned_attempt_uses_threads_until_its_time_is_over() {
+fn abandoned_attempt_uses_threads_until_it_expires() {
     let mut attempts = EngineAttempts::new(at_ms(0));
     attempts.add_abandoned(at_ms(100), 4.0);
     attempts.expire(at_ms(99));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn restart_retains_only_number_and_threads_of_the_attempts() {
+fn restart_keeps_only_number_and_threads_of_the_attempts() {
     let mut attempts = EngineAttempts::new(at_ms(0));
     attempts.add(RequestId(1), 2.0, true, at_ms(5));
     let attempts = attempts.restarted(at_ms(20));
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -1,4 +1,4 @@
-//! Engines: what the endpoint list says of each, and the state of each part of the policy about it.
+//! Engine records: the entry in the endpoint list and the state of each policy component for the engine.
 
 use super::attempts::EngineAttempts;
 use crate::interface::{EndpointScope, EngineEntry, EngineId, EngineState};
@@ -11,44 +11,44 @@
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 
-/// What is known of an engine.
+/// State kept for one engine.
 pub(crate) struct EngineRecord {
-    /// Its entry in the endpoint list.
+    /// Latest entry in the endpoint list.
     pub(crate) entry: EngineEntry,
-    /// It is not in service.
-    pub(crate) gone: bool,
-    /// Its cores, by the kind in its entry.
+    /// The engine is draining or removed from the endpoint list.
+    pub(crate) out_of_service: bool,
+    /// Number of cores, by the kind in the entry.
     pub(crate) cores: f64,
-    /// This gateway's attempts there.
+    /// This gateway's attempts at the engine.
     pub(crate) attempts: EngineAttempts,
-    /// How many threads this gateway may use there.
+    /// Limits the threads that this gateway may use on the engine.
     pub(crate) limit: ConcurrencyLimit,
-    /// Evidence of its load.
+    /// Samples from which the engine's load is estimated.
     pub(crate) load: LoadEvidence,
-    /// How slow it looked when it was last observed.
+    /// Latest observed slowdown.
     pub(crate) slowdown: ObservedSlowdown,
-    /// Whether it is ejected, paused or on probation.
+    /// Whether the engine is ejected, paused or on probation.
     pub(crate) health: EngineHealth,
-    /// Its slow start.
+    /// Progress of the slow start.
     pub(crate) slow_start: SlowStartWindow,
 }
 
-/// What a record of an engine starts with.
+/// Inputs for the initial state of an engine record.
 pub(crate) struct EngineDefaults<'a> {
     /// Number of classes.
     pub(crate) classes: usize,
-    /// How many gateways share the pool.
+    /// Numbers of gateways that share the pool.
     pub(crate) gateways: &'a GatewayCounts,
-    /// Present time.
+    /// Current time.
     pub(crate) now: Timestamp,
 }
 
 impl EngineRecord {
-    /// An engine of which nothing is known but its entry.
+    /// Creates the record of a newly listed engine.
     pub(crate) fn new(entry: EngineEntry, cores: f64, defaults: &EngineDefaults) -> Self {
         Self {
             entry,
-            gone: false,
+            out_of_service: false,
             cores,
             attempts: EngineAttempts::new(defaults.now),
             limit: ConcurrencyLimit::initial(cores, defaults.gateways),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Drops what is known of the process before a restart; only its attempts in flight stay.
+    /// Resets the record after a restart of the engine; only the attempts in flight are kept.
     fn restart(&mut self, entry: &EngineEntry, cores: f64, defaults: &EngineDefaults) {
         let attempts = std::mem::take(&mut self.attempts).restarted(defaults.now);
         *self = Self { attempts, ..Self::new(entry.clone(), cores, defaults) };
@@ -71,14 +71,14 @@
 pub(crate) struct EngineTable(BTreeMap<EngineId, EngineRecord>);
 
 impl EngineTable {
-    /// A message of the endpoint list begins.
+    /// Begins to apply a message of the endpoint list.
     pub(crate) fn begin_update(&mut self, scope: EndpointScope) {
         if scope != EndpointScope::Changes {
-            self.0.values_mut().for_each(|engine| engine.gone = true);
+            self.0.values_mut().for_each(|engine| engine.out_of_service = true);
         }
     }
 
-    /// Takes in an entry of the endpoint list, of an engine with so many cores.
+    /// Applies an entry of the endpoint list; `cores` is the engine's number of cores.
     pub(crate) fn update(&mut self, entry: &EngineEntry, cores: f64, defaults: &EngineDefaults) {
         let engine = match self.0.entry(entry.engine) {
             Entry::Vacant(vacant) => vacant.insert(EngineRecord::new(entry.clone(), cores, defaults)),
@@ -95,48 +95,45 @@
         if let Some(started) = entry.started {
             engine.slow_start.set_started(started.into());
         }
-        engine.gone = entry.state != EngineState::InService;
+        engine.out_of_service = entry.state != EngineState::InService;
     }
 
-    /// Forgets removed engines with nothing in flight.
+    /// Deletes the records of removed engines without attempts in flight.
     pub(crate) fn end_update(&mut self) {
         self.0.retain(|_, engine| {
             let is_draining = engine.entry.state == EngineState::Draining;
-            engine.attempts.in_flight() > 0 || !engine.gone || is_draining
+            engine.attempts.in_flight() > 0 || !engine.out_of_service || is_draining
         });
     }
 
-    /// An engine.
     pub(crate) fn get(&self, id: EngineId) -> Option<&EngineRecord> {
         self.0.get(&id)
     }
 
-    /// An engine.
     pub(crate) fn get_mut(&mut self, id: EngineId) -> Option<&mut EngineRecord> {
         self.0.get_mut(&id)
     }
 
-    /// The engines, by id.
+    /// Iterates over the engines in the order of their ids.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (EngineId, &EngineRecord)> {
         self.0.iter().map(|(id, engine)| (*id, engine))
     }
 
-    /// The engines, in the order of their ids.
+    /// Iterates over the engines in the order of their ids.
     pub(crate) fn values(&self) -> impl Iterator<Item = &EngineRecord> + Clone {
         self.0.values()
     }
 
-    /// The engines, in the order of their ids.
+    /// Iterates over the engines in the order of their ids.
     pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut EngineRecord> {
         self.0.values_mut()
     }
 
-    /// Engines in service.
+    /// Iterates over the engines in service.
     pub(crate) fn in_service(&self) -> impl Iterator<Item = &EngineRecord> + Clone {
-        self.values().filter(|engine| !engine.gone)
+        self.values().filter(|engine| !engine.out_of_service)
     }
 
-    /// Number of engines.
     pub(crate) fn len(&self) -> usize {
         self.0.len()
     }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,4 +1,4 @@
-//! Requests: their state, and attempts whose request has ended.
+//! Request records: open requests, and ended requests whose attempt is still in flight.
 
 use crate::interface::{Arrival, AttemptNo, EngineId, RequestId};
 use crate::policy::dispatch_queue::{DispatchQueue, QueueKey};
@@ -6,68 +6,67 @@
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// An attempt in flight.
+/// A sent attempt that has not ended.
 pub(crate) struct InFlightAttempt {
-    /// Where it runs.
+    /// Engine that it was sent to.
     pub(crate) engine: EngineId,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub(crate) sent: Timestamp,
-    /// Its number among the request's attempts, from 0.
+    /// Number within the request, from 0.
     pub(crate) number: u32,
-    /// When it was sent, or its last progress report came.
+    /// Time of the last progress report, or of sending before the first report.
     pub(crate) last_response: Timestamp,
-    /// It was cancelled for another and has not ended yet.
+    /// Cancelled in favour of a retry, but not ended yet.
     pub(crate) cancelled: bool,
 }
 
 impl InFlightAttempt {
-    /// An attempt that is sent now.
     pub(crate) fn new(engine: EngineId, number: u32, now: Timestamp) -> Self {
         Self { engine, sent: now, number, last_response: now, cancelled: false }
     }
 }
 
-/// The first attempt of a request that may have run.
+/// First attempt of a request that the engine may have executed.
 #[derive(Clone, Copy)]
 pub(crate) struct PossibleRun {
-    /// Its deduplication group, where that is known.
+    /// Deduplication group of the engine, if known.
     pub(crate) group: Option<u64>,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub(crate) sent: Timestamp,
 }
 
-/// What is known of a request.
+/// State kept for one request.
 pub(crate) struct RequestRecord {
     /// The request as it arrived.
     pub(crate) arrival: Arrival,
-    /// When it arrived.
+    /// Time of arrival.
     pub(crate) arrived: Timestamp,
-    /// Its client's deadline.
+    /// Deadline of the client.
     pub(crate) deadline: Timestamp,
-    /// When it must be sent to be answered within its class's objective.
+    /// Latest time to send the request so that it is answered within its class's latency objective.
     pub(crate) dispatch_target: Timestamp,
-    /// Its number in the order of arrival.
+    /// Position in the order of arrival.
     sequence: u64,
-    /// Number of attempts so far.
+    /// Number of attempts sent so far.
     pub(crate) attempts: u32,
-    /// Its attempt in flight.
+    /// Attempt in flight, if any.
     pub(crate) in_flight: Option<InFlightAttempt>,
     /// Rows have begun to arrive.
     pub(crate) streaming: bool,
-    /// The first attempt that may have run.
+    /// First attempt that may have run, if any.
     pub(crate) possible_run: Option<PossibleRun>,
-    /// Where its last attempt was sent.
+    /// Engine of the last attempt.
     pub(crate) last_engine: Option<EngineId>,
     /// Projected time in microseconds of an attempt that was cancelled for a suspected bad plan.
     pub(crate) bad_plan_time_us: Option<f64>,
-    /// Priority of its attempts.
+    /// Priority of the attempts.
     pub(crate) priority: Priority,
-    /// An engine has answered it with an error.
+    /// An engine has answered with an error.
     pub(crate) had_error: bool,
 }
 
 impl RequestRecord {
-    /// A request that has arrived.
+    /// Creates the record of a request that has just arrived.
     pub(crate) fn new(
         arrival: Arrival,
         arrived: Timestamp,
@@ -91,18 +90,18 @@
         }
     }
 
-    /// Its attempt in flight, if it has this number.
+    /// The attempt in flight, if it has this number.
     pub(crate) fn attempt(&self, number: AttemptNo) -> Option<&InFlightAttempt> {
         self.in_flight.as_ref().filter(|attempt| attempt.number == number.0)
     }
 
-    /// Its attempt in flight, if it has this number.
+    /// The attempt in flight, if it has this number.
     pub(crate) fn attempt_mut(&mut self, number: AttemptNo) -> Option<&mut InFlightAttempt> {
         self.in_flight.as_mut().filter(|attempt| attempt.number == number.0)
     }
 
-    /// Whether it waits for an engine, with no row received yet.
-    pub(crate) fn waits_for(&self, engine: EngineId) -> bool {
+    /// Whether an attempt is in flight at the engine and no row has arrived yet.
+    pub(crate) fn awaits_rows_from(&self, engine: EngineId) -> bool {
         !self.streaming && self.in_flight.as_ref().is_some_and(|attempt| attempt.engine == engine)
     }
 
@@ -112,35 +111,33 @@
     }
 }
 
-/// An attempt that has ended, with its request taken out of the table.
-pub(crate) struct EndedAttempt {
-    /// Its request.
+/// An attempt that has ended, and its request, which was removed from the table.
+pub(crate) struct FinishedAttempt {
     pub(crate) request: RequestRecord,
-    /// The attempt.
     pub(crate) attempt: InFlightAttempt,
-    /// The request still waits for its answer.
+    /// Whether the request has no final answer yet.
     pub(crate) is_open: bool,
 }
 
-/// All requests.
+/// Open requests, ended requests with an attempt in flight, and the dispatch queue.
 pub(crate) struct RequestTable {
     open: BTreeMap<RequestId, RequestRecord>,
-    /// Requests that have ended with an attempt in flight: it loads its engine and holds its ordering key
-    /// until it ends.
+    /// Ended requests with an attempt in flight, which uses its engine and blocks its ordering key until it
+    /// ends.
     orphans: BTreeMap<RequestId, RequestRecord>,
     queue: DispatchQueue,
     next_sequence: u64,
 }
 
 impl RequestTable {
-    /// No requests of so many classes.
+    /// Creates an empty table for the given number of classes.
     pub(crate) fn new(classes: usize) -> Self {
         let queue = DispatchQueue::new(classes);
         Self { open: BTreeMap::new(), orphans: BTreeMap::new(), queue, next_sequence: 0 }
     }
 
-    /// Adds a request that has arrived to its queue, and to that of its ordering key if its class has an
-    /// order.
+    /// Adds a new request to the dispatch queue, and to the queue of its ordering key if its class is
+    /// executed in order.
     pub(crate) fn add(&mut self, mut request: RequestRecord, in_order: bool) {
         let id = request.arrival.request;
         request.sequence = self.next_sequence;
@@ -152,39 +149,37 @@
         self.open.insert(id, request);
     }
 
-    /// Whether a request is open.
+    /// Whether the request is open.
     pub(crate) fn contains(&self, id: RequestId) -> bool {
         self.open.contains_key(&id)
     }
 
-    /// An open request.
     pub(crate) fn get(&self, id: RequestId) -> Option<&RequestRecord> {
         self.open.get(&id)
     }
 
-    /// An open request.
     pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestRecord> {
         self.open.get_mut(&id)
     }
 
-    /// The open requests, by id.
+    /// Iterates over the open requests in the order of their ids.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (RequestId, &RequestRecord)> {
         self.open.iter().map(|(id, request)| (*id, request))
     }
 
-    /// The requests that wait, in the order of dispatch.
+    /// The waiting requests, in dispatch order.
     pub(crate) fn queue(&self) -> &DispatchQueue {
         &self.queue
     }
 
-    /// Puts a request back into its queue.
+    /// Returns an open request to the dispatch queue.
     pub(crate) fn enqueue(&mut self, id: RequestId) {
         if let Some(request) = self.open.get(&id) {
             self.queue.enqueue(request.arrival.class, request.queue_key());
         }
     }
 
-    /// Takes a request out of its queue.
+    /// Removes a request from the dispatch queue.
     pub(crate) fn dequeue(&mut self, id: RequestId) {
         if let Some(request) = self.open.get(&id) {
             self.queue.dequeue(request.arrival.class, &request.queue_key());
@@ -202,40 +197,40 @@
         }
     }
 
-    /// Takes out a request whose attempt has ended; [`Self::restore`] puts it back.
-    pub(crate) fn take_attempt(&mut self, id: RequestId, number: AttemptNo) -> Option<EndedAttempt> {
+    /// Removes a request whose attempt has ended; [`Self::restore`] adds it again.
+    pub(crate) fn take_attempt(&mut self, id: RequestId, number: AttemptNo) -> Option<FinishedAttempt> {
         let is_open = self.open.get(&id).is_some_and(|request| request.attempt(number).is_some());
         let requests = if is_open { &mut self.open } else { &mut self.orphans };
         requests.get(&id)?.attempt(number)?;
         let mut request = requests.remove(&id)?;
         let attempt = request.in_flight.take()?;
-        Some(EndedAttempt { request, attempt, is_open })
+        Some(FinishedAttempt { request, attempt, is_open })
     }
 
-    /// Puts back a request that was taken out.
+    /// Adds a request that [`Self::take_attempt`] removed, as an open request.
     pub(crate) fn restore(&mut self, request: RequestRecord) {
         self.open.insert(request.arrival.request, request);
     }
 
-    /// An attempt of a request may still run until then: nothing of its ordering key follows before.
+    /// Blocks the request's ordering key until the given time, because an attempt may still run until then.
     pub(crate) fn settle_ordering_key(&mut self, request: &RequestRecord, until: Timestamp) {
         if let Some(key) = request.arrival.ordering_key {
             self.queue.settle_order(key, until);
         }
     }
 
-    /// Whether two requests, each open or an orphan, use the same table group.
+    /// Whether the request `id`, open or an orphan, uses the same table group as `other`.
     pub(crate) fn shares_table_group(&self, id: RequestId, other: &RequestRecord) -> bool {
         let known = self.open.get(&id).or(self.orphans.get(&id));
         known.is_some_and(|request| request.arrival.table_group == other.arrival.table_group)
     }
 
-    /// Forgets ordering keys with nothing left to wait for.
+    /// Removes ordering keys that have no requests and are no longer blocked.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         self.queue.expire(now);
     }
 
-    /// Number of things remembered.
+    /// Number of entries held in memory.
     pub(crate) fn tracked(&self) -> usize {
         self.open.len() + self.orphans.len() + self.queue.tracked()
     }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,31 +1,31 @@
-//! Instants and spans of time inside the scheduler, in microseconds on the controller's clock. Both are
-//! signed: a dispatch target or the start of a window may lie before the clock began. Conversions from the
-//! public types saturate far from overflow.
+//! Timestamps and time spans of the scheduler, in microseconds on the controller's clock. Both are signed
+//! because a dispatch target or the start of a window may precede the start of the clock. Conversions from
+//! the public types saturate well below the limits of `i64`.
 
 use crate::interface::Time;
 use std::ops::{Add, Div, Mul, Sub};
 use std::time::Duration;
 
-/// Largest instant or span that is taken in, in microseconds: far from overflow in any sum of a few.
+/// Upper bound of converted timestamps and spans, in microseconds; a sum of several cannot overflow.
 const MAX_MICROS: i64 = i64::MAX / 8;
 
-/// An instant on the controller's clock, in microseconds from an arbitrary start.
+/// A point in time on the controller's clock, in microseconds from an arbitrary start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Timestamp(i64);
 
 impl Timestamp {
-    /// The start of the clock. As the time of the latest event of a kind it stands for "never".
+    /// Start of the clock; also means "never" as the time of the latest event of some kind.
     pub(crate) const ZERO: Self = Self(0);
-    /// Before every other instant.
+    /// Earlier than every other timestamp.
     pub(crate) const MIN: Self = Self(i64::MIN);
 
-    /// The instant as other parts of the program see it.
+    /// Converts to the public type.
     pub(crate) fn to_time(self) -> Time {
         Time(self.0 as u64)
     }
 
-    /// Number of the span of this length that the instant lies in, counted from the start of the clock.
-    pub(crate) fn span_number(self, length: TimeSpan) -> u64 {
+    /// Index of the interval of this length that contains the timestamp, counted from the start of the clock.
+    pub(crate) fn interval_index(self, length: TimeSpan) -> u64 {
         (self.0 / length.0) as u64
     }
 }
@@ -36,42 +36,37 @@
     }
 }
 
-/// A span of time in microseconds; negative where an instant lies before the one it is measured from.
+/// A length of time in microseconds; negative if the end precedes the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TimeSpan(i64);
 
 impl TimeSpan {
-    /// No time.
     pub(crate) const ZERO: Self = Self(0);
-    /// The shortest span that is measured.
+    /// Resolution of the clock.
     pub(crate) const MICROSECOND: Self = Self(1);
 
-    /// A span of so many microseconds.
     pub(crate) const fn from_micros(micros: i64) -> Self {
         Self(micros)
     }
 
-    /// A span of so many milliseconds.
     pub(crate) const fn from_millis(millis: i64) -> Self {
         Self(millis * 1000)
     }
 
-    /// A span of so many microseconds, rounded towards zero.
+    /// Rounds towards zero.
     pub(crate) fn from_micros_f64(micros: f64) -> Self {
         Self(micros as i64)
     }
 
-    /// In microseconds.
     pub(crate) const fn as_micros(self) -> i64 {
         self.0
     }
 
-    /// In microseconds, for the formulas.
     pub(crate) const fn as_micros_f64(self) -> f64 {
         self.0 as f64
     }
 
-    /// The span as other parts of the program see it; a negative one is zero.
+    /// Converts to the public type; a negative span becomes zero.
     pub(crate) fn to_duration(self) -> Duration {
         Duration::from_micros(self.0.max(0) as u64)
     }
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -1,4 +1,4 @@
-//! Conversions and arithmetic of instants and spans.
+//! Conversions and arithmetic of timestamps and time spans.
 
 use super::*;
 
@@ -10,9 +10,9 @@
 }
 
 #[test]
-fn instants_may_lie_before_the_clock_began() {
+fn timestamps_may_precede_the_start_of_the_clock() {
     let target = Timestamp::from(Time(100)) - TimeSpan::from_micros(300);
     assert!(target < Timestamp::ZERO);
     assert_eq!((target - Timestamp::ZERO).as_micros(), -200);
-    assert_eq!((target - Timestamp::ZERO).to_duration(), Duration::ZERO, "a negative span is none outside");
+    assert_eq!((target - Timestamp::ZERO).to_duration(), Duration::ZERO, "a negative span converts to zero");
 }
