--- a/src/policy/dispatch_queue.rs
+++ b/src/policy/dispatch_queue.rs
@@ -5,7 +5,7 @@
 //! it can be sent and still meet its objective. Requests are sent in ascending order of their targets. Late
 //! requests go first, by descending priority weight (a rule of the design, for the paper's class priority).
 
-use crate::interface::{ClassId, KeyId, RequestId, Settings};
+use crate::interface::{ClassId, OrderingKeyId, RequestId, Settings};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
@@ -38,7 +38,7 @@
     /// Requests that wait to be sent, by class.
     classes: Vec<BTreeSet<QueueKey>>,
     /// Requests of each ordering key until they have ended, including those with an attempt in flight.
-    ordering: BTreeMap<KeyId, OrderingQueue>,
+    ordering: BTreeMap<OrderingKeyId, OrderingQueue>,
 }
 
 impl DispatchQueue {
@@ -58,19 +58,19 @@
     }
 
     /// Appends a request that has arrived to the queue of its ordering key.
-    pub(crate) fn add_to_ordering_queue(&mut self, key: KeyId, request: RequestId) {
+    pub(crate) fn add_to_ordering_queue(&mut self, key: OrderingKeyId, request: RequestId) {
         self.ordering.entry(key).or_default().requests.push_back(request);
     }
 
     /// Removes a request from the queue of its ordering key once it has ended and has no attempt in flight.
-    pub(crate) fn remove_from_ordering_queue(&mut self, key: KeyId, request: RequestId) {
+    pub(crate) fn remove_from_ordering_queue(&mut self, key: OrderingKeyId, request: RequestId) {
         if let Some(queue) = self.ordering.get_mut(&key) {
             queue.requests.retain(|waiting| *waiting != request);
         }
     }
 
     /// Blocks later requests of an ordering key while an attempt of it may still run.
-    pub(crate) fn block_ordering_key(&mut self, key: KeyId, until: Timestamp) {
+    pub(crate) fn block_ordering_key(&mut self, key: OrderingKeyId, until: Timestamp) {
         if let Some(queue) = self.ordering.get_mut(&key) {
             queue.blocked_until = until;
         }
@@ -80,7 +80,7 @@
     /// earlier request may still run. A retry does not wait for an earlier attempt of its own request.
     pub(crate) fn is_first_in_order(
         &self,
-        key: Option<KeyId>,
+        key: Option<OrderingKeyId>,
         request: RequestId,
         is_retry: bool,
         now: Timestamp,
--- a/src/policy/dispatch_queue/tests.rs
+++ b/src/policy/dispatch_queue/tests.rs
@@ -40,7 +40,7 @@
 
 #[test]
 fn requests_with_the_same_ordering_key_are_sent_in_order() {
-    let (mut queue, ordering_key) = (DispatchQueue::new(1), KeyId(5));
+    let (mut queue, ordering_key) = (DispatchQueue::new(1), OrderingKeyId(5));
     queue.add_to_ordering_queue(ordering_key, RequestId(1));
     queue.add_to_ordering_queue(ordering_key, RequestId(2));
     let is_first = |queue: &DispatchQueue, id, is_retry, millis| {
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -7,7 +7,7 @@
 use super::class_estimates::ClassEstimates;
 use super::load_evidence::progress_report_timeout;
 use super::retry_policy::is_lost;
-use crate::interface::{Idempotency, KeyScope, Settings};
+use crate::interface::{DeduplicationScope, Idempotency, Settings};
 use crate::state::RequestRecord;
 use crate::time::{TimeSpan, Timestamp};
 
@@ -111,7 +111,7 @@
 /// attempt of the request can have run, or if a repeated run is harmless or every engine would drop it.
 pub(crate) fn may_reject(request: &RequestRecord, idempotency: Idempotency) -> bool {
     match idempotency {
-        Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. } => true,
+        Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
         _ => request.possible_run.is_none() && request.in_flight.is_none(),
     }
 }
--- a/src/policy/retry_policy.rs
+++ b/src/policy/retry_policy.rs
@@ -7,7 +7,8 @@
 use super::class_estimates::ClassEstimates;
 use super::gateway_counts::GatewayCounts;
 use crate::interface::{
-    EngineEntry, ExclusionReason, Idempotency, KeyScope, RetryBudget as RetryBudgetSettings, Settings,
+    DeduplicationScope, EngineEntry, ExclusionReason, Idempotency, RetryBudget as RetryBudgetSettings,
+    Settings,
 };
 use crate::state::{EventWindow, InFlightAttempt, PossibleRun, RequestRecord};
 use crate::time::{TimeSpan, Timestamp};
@@ -69,7 +70,7 @@
         let since = now - TimeSpan::from(budget.window);
         let retries = self.retries.count_from(since) as f64;
         let requests = self.requests.count_after(since) as f64;
-        let free = gateways.free_retries(budget.free);
+        let free = gateways.free_retries(budget.free_retries);
         retries + 1.0 <= free + budget.ratio * requests
     }
 
@@ -227,7 +228,7 @@
     /// Engines of one deduplication group, which discard the request if it has already run.
     SameGroup {
         /// What the deduplication groups are based on.
-        scope: KeyScope,
+        scope: DeduplicationScope,
         /// The group; `None` if it is unknown, which excludes every engine.
         group: Option<u64>,
     },
@@ -241,7 +242,7 @@
         let Some(run) = run else { return Self::AnyEngine };
         match (check_rerun(idempotency, Some(run.sent), now), idempotency) {
             (Err(refusal), _) => Self::NoEngine(refusal),
-            (Ok(()), Idempotency::Keyed { scope, .. }) if scope != KeyScope::All => {
+            (Ok(()), Idempotency::Keyed { scope, .. }) if scope != DeduplicationScope::All => {
                 Self::SameGroup { scope, group: run.group }
             }
             (Ok(()), _) => Self::AnyEngine,
