--- a/gateway/src/broker/dedup_groups.rs
+++ b/gateway/src/broker/dedup_groups.rs
@@ -1,14 +1,14 @@
-//! Deduplication groups: which engines drop repeated requests of one idempotency key together.
+//! Deduplication groups: sets of engines that detect repeated requests with the same idempotency key together.
 
 use reedwalk_scheduler::{EngineEntry, EngineId, EngineState, KeyScope};
 use std::collections::HashMap;
 
-/// The group of each listed engine. Engines that are removed are forgotten.
+/// The endpoint list's entries by engine, from which the groups follow. Removed engines are dropped.
 #[derive(Default)]
 pub(super) struct DeduplicationGroups(HashMap<EngineId, EngineEntry>);
 
 impl DeduplicationGroups {
-    /// Applies changed entries of the endpoint list.
+    /// Applies changes of the endpoint list.
     pub(super) fn update(&mut self, entries: &[EngineEntry]) {
         for entry in entries {
             if entry.state == EngineState::Removed {
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The group of an engine; `None` where it is in none, or not known.
+    /// Returns an engine's group; `None` if it is in no group or not listed.
     pub(super) fn group_of(&self, engine: EngineId, scope: KeyScope) -> Option<u64> {
         self.0.get(&engine).and_then(|entry| scope.group(entry))
     }
--- a/gateway/src/broker/dedup_groups/tests.rs
+++ b/gateway/src/broker/dedup_groups/tests.rs
@@ -1,9 +1,7 @@
-//! Deduplication groups of engines, and those that are forgotten.
-
 use super::*;
 
 #[test]
-fn removed_engine_is_forgotten() {
+fn removed_engine_is_dropped() {
     let mut groups = DeduplicationGroups::default();
     for number in 0..1_000 {
         let entry = EngineEntry::new(EngineId(number));
--- a/gateway/src/broker/packed_rows.rs
+++ b/gateway/src/broker/packed_rows.rs
@@ -1,12 +1,12 @@
-//! Results as they are stored with an idempotency key in the shared store, in the form of `postcard`. The order of
-//! the fields is part of what is stored.
+//! Results as stored with an idempotency key in the shared store, encoded with `postcard`. The order of the fields is
+//! part of the stored format.
 
 use crate::message::Rows;
 use bytes::Bytes;
 use reedwalk_shared_store::codec::MAX_VALUE_BYTES;
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a stored result at most: a value without its header.
+/// Maximum size of a stored result in bytes; the rest of the value is reserved for its header.
 const MAX_PACKED_BYTES: usize = MAX_VALUE_BYTES - 64;
 
 #[derive(Serialize, Deserialize)]
@@ -17,7 +17,7 @@
     changed: Option<i64>,
 }
 
-/// The stored form of a result; `None` where it is too large to be stored.
+/// Encodes a result for the shared store; `None` if it is too large.
 pub(super) fn pack(rows: &Rows) -> Option<Vec<u8>> {
     let size: usize = rows.cells.iter().flatten().map(Bytes::len).sum();
     if size > MAX_PACKED_BYTES {
@@ -33,7 +33,7 @@
     (bytes.len() <= MAX_PACKED_BYTES).then_some(bytes)
 }
 
-/// The result of its stored form; `None` where the bytes are not one.
+/// Decodes a stored result; `None` if the bytes are not a valid encoding.
 pub(super) fn unpack(bytes: &[u8]) -> Option<Rows> {
     let packed: PackedRows = postcard::from_bytes(bytes).ok()?;
     let cells = packed.cells.into_iter().map(|cell| cell.map(Bytes::from)).collect();
--- a/gateway/src/broker/packed_rows/tests.rs
+++ b/gateway/src/broker/packed_rows/tests.rs
@@ -16,11 +16,11 @@
     assert_eq!(unpack(b"\xff\xff\xff\xff\xff"), None);
 }
 
-/// A packed result as the program stored it before the names of its types changed.
+/// A result as stored by a version before the types were renamed. The encoding must not change.
 const GOLDEN: &str = "030301610162016303010131000100010e";
 
 #[test]
-fn packed_result_of_the_version_before_is_read() {
+fn packed_result_of_an_earlier_version_is_read() {
     let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
     let rows = Rows {
         columns: 3,
--- a/gateway/src/broker/timers.rs
+++ b/gateway/src/broker/timers.rs
@@ -1,16 +1,16 @@
-//! The broker's timers: one for each attempt in flight and each open request, in the order in which they expire.
+//! The broker's timers, ordered by expiry: one for each attempt in flight and one for each open request.
 
 use crate::message::AttemptId;
 use reedwalk_scheduler::RequestId;
 use std::collections::BTreeSet;
 use tokio::time::Instant;
 
-/// What a timer is for. Of timers that expire at the same instant, those of attempts come first.
+/// The purpose of a timer. Timers of attempts precede those of requests that expire at the same instant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The attempt's deadline.
+    /// Expires at the attempt's deadline.
     Attempt(AttemptId),
-    /// The instant by which the request must have its response.
+    /// Expires when the request must have been answered.
     Request(RequestId),
 }
 
@@ -19,22 +19,21 @@
 pub(super) struct Timers(BTreeSet<(Instant, Timer)>);
 
 impl Timers {
-    /// Arms a timer.
     pub(super) fn arm(&mut self, at: Instant, timer: Timer) {
         self.0.insert((at, timer));
     }
 
-    /// Disarms a timer that was armed for this instant, if it still is.
+    /// Disarms a timer armed for this instant. Does nothing if there is none.
     pub(super) fn disarm(&mut self, at: Instant, timer: Timer) {
         self.0.remove(&(at, timer));
     }
 
-    /// When the next timer expires.
+    /// Returns when the next timer expires.
     pub(super) fn next_expiry(&self) -> Option<Instant> {
         self.0.first().map(|(at, _)| *at)
     }
 
-    /// Takes the next timer that has expired.
+    /// Removes and returns the next expired timer.
     pub(super) fn pop_expired(&mut self, now: Instant) -> Option<Timer> {
         if self.next_expiry()? > now {
             return None;
--- a/gateway/src/broker/timers/tests.rs
+++ b/gateway/src/broker/timers/tests.rs
@@ -23,7 +23,7 @@
     let mut timers = Timers::default();
     timers.arm(start, Timer::Attempt(AttemptId(1)));
     timers.disarm(start + Duration::from_millis(1), Timer::Attempt(AttemptId(1)));
-    assert_eq!(timers.next_expiry(), Some(start), "it was armed for another instant");
+    assert_eq!(timers.next_expiry(), Some(start), "the timer was armed for another instant");
     timers.disarm(start, Timer::Attempt(AttemptId(1)));
     assert_eq!(timers.pop_expired(start), None);
 }
--- a/gateway/src/message/endpoint.rs
+++ b/gateway/src/message/endpoint.rs
@@ -1,32 +1,32 @@
-//! Engines as service discovery lists them, and where each is reached.
+//! Engines as listed by service discovery, and their addresses.
 
 use crate::drain_guard::DrainGuard;
 use reedwalk_scheduler::EngineEntry;
 use std::net::SocketAddr;
 
-/// One engine as service discovery lists it.
+/// One engine as listed by service discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its entry for the scheduler.
+    /// The engine's entry for the scheduler.
     pub entry: EngineEntry,
-    /// Where it listens.
+    /// The address on which the engine listens.
     pub address: SocketAddr,
 }
 
-/// A changed endpoint, with the drain guard for whatever is sent to it from now on.
+/// A changed endpoint, with the drain guard that applies to everything sent to it from now on.
 #[derive(Clone, Debug)]
 pub struct EndpointUpdate {
-    /// The endpoint as it is now.
+    /// The new state of the endpoint.
     pub endpoint: Endpoint,
-    /// Shows connections whether they may still write to it.
+    /// Tells connections whether they may still write to the engine.
     pub drain_guard: DrainGuard,
 }
 
-/// Where a transport reaches an engine.
+/// The address at which a transport reaches an engine.
 #[derive(Clone, Debug)]
 pub struct EngineAddress {
-    /// Where it listens.
+    /// The address on which the engine listens.
     pub address: SocketAddr,
-    /// Shows connections whether they may still write to it.
+    /// Tells connections whether they may still write to the engine.
     pub drain_guard: DrainGuard,
 }
--- a/gateway/src/message/mod.rs
+++ b/gateway/src/message/mod.rs
@@ -1,5 +1,5 @@
-//! Types that pass between the broker, the fronts, the engine transports and the owners of shared state. They stand
-//! below all of those: nothing here refers to a wire format or to any of the tasks that exchange these messages.
+//! Message types exchanged by the broker, the fronts, the engine transports and the owners of shared state. All of
+//! those depend on this module; it depends on no wire format and on none of the tasks that exchange the messages.
 
 mod attempt;
 mod endpoint;
--- a/gateway/src/message/response.rs
+++ b/gateway/src/message/response.rs
@@ -6,22 +6,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A complete result: rows of text cells, in the engine's order. A cell of `None` is NULL.
+/// A complete result: rows of text cells in the order of the engine's response. A cell of `None` is NULL.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rows {
-    /// Number of cells in a row.
+    /// Number of columns.
     pub columns: usize,
-    /// Column names, where the engine returns them.
+    /// Column names; empty if the engine returns none.
     pub names: Vec<String>,
-    /// All cells, row by row.
+    /// All cells in row-major order.
     pub cells: Vec<Option<Bytes>>,
-    /// Number of rows that an update has changed, where the engine returns that in place of rows.
+    /// Number of rows changed by an update, if the engine returns that instead of rows.
     pub changed: Option<i64>,
-    /// The result in its engine's own format, for a front that speaks the same.
+    /// The result in the engine's wire format, for a front that uses the same format.
     pub native: WireNative,
 }
 
-/// A value that only a transport and a front of one wire format understand. All values compare equal.
+/// An opaque value for a transport and a front of the same wire format. All values compare equal.
 #[derive(Clone, Default)]
 pub struct WireNative(pub Option<Arc<dyn Any + Send + Sync>>);
 
@@ -40,53 +40,53 @@
 impl Eq for WireNative {}
 
 impl Rows {
-    /// The rows, in order.
+    /// Iterates over the rows.
     pub fn iter(&self) -> impl Iterator<Item = &[Option<Bytes>]> {
         self.cells.chunks(self.columns.max(1))
     }
 
-    /// Name of a column, counted from 0; `c1`, `c2` and so on where the engine returns no names.
+    /// The name of a column, counted from 0; `c1`, `c2` and so on if the engine returns no names.
     pub fn name(&self, column: usize) -> String {
         self.names.get(column).cloned().unwrap_or_else(|| format!("c{}", column + 1))
     }
 }
 
-/// Why a request was rejected. The client may safely retry it.
+/// Why a request was rejected. A rejected request is safe to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rejection {
-    /// The scheduler rejected it.
+    /// The scheduler, the start-up phase or the request's idempotency key does not admit it now.
     Busy,
-    /// The broker's tables or its queue are full.
+    /// The broker's queue or its request table is full.
     Shed,
-    /// Its team has used up its quota in this window.
+    /// The team has used up its quota for this window.
     Budget,
-    /// Its team's contract does not cover the class.
+    /// No contract of the team covers the request's class.
     Contract,
 }
 
-/// Why a request failed. Whether it had an effect is not known.
+/// Why a request failed. It is unknown whether the request had an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Failure {
-    /// No engine could serve it.
+    /// No engine could serve the request.
     Engine,
-    /// Its deadline passed.
+    /// The deadline passed.
     Deadline,
-    /// Another request with its id is open; this one was not accepted.
+    /// Another open request has the same client id; this one was not accepted.
     IdInUse,
 }
 
 /// The one final response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// Completed, with the whole result.
+    /// The request completed with this result.
     Served(Rows),
-    /// Rejected; the client may retry.
+    /// The request was rejected; the client may retry.
     Rejected {
-        /// The reason.
+        /// Why the request was rejected.
         reason: Rejection,
-        /// How long the client is asked to wait before it retries.
+        /// How long the client should wait before a retry.
         retry_after: Option<Duration>,
     },
-    /// Failed, with no promise about its effect.
+    /// The request failed and may have had an effect.
     Failed(Failure),
 }
