--- a/gateway/src/broker/actions.rs
+++ b/gateway/src/broker/actions.rs
@@ -1,4 +1,4 @@
-//! Steps of the scheduler, and the actions that it decides on.
+//! Steps the scheduler and carries out its actions.
 
 use super::Broker;
 use super::attempts::UnsentAttempt;
@@ -8,11 +8,11 @@
 use tokio::time::Instant;
 
 impl<T: EngineTransport> Broker<T> {
-    /// Steps the scheduler until its actions cause no further events.
+    /// Steps the scheduler until carrying out its actions causes no further events.
     pub(super) fn step_scheduler(&mut self, now: Instant) {
         let mut actions = Vec::new();
         loop {
-            let events = std::mem::take(&mut self.pending);
+            let events = std::mem::take(&mut self.pending_events);
             self.scheduler.step(self.clock.time(now), &events, &mut actions);
             let mut unsent = Vec::new();
             for action in actions.drain(..) {
@@ -21,36 +21,36 @@
             for attempt in unsent {
                 self.report_unsent(attempt);
             }
-            if self.pending.is_empty() {
+            if self.pending_events.is_empty() {
                 return;
             }
         }
     }
 
-    /// Reports to the scheduler that an attempt it asked for was not sent.
+    /// Reports to the scheduler that a requested attempt was not sent.
     fn report_unsent(&mut self, attempt: UnsentAttempt) {
         let UnsentAttempt { request, number } = attempt;
         let closed = !self.requests.is_unanswered(request);
         let outcome = Outcome::NeverSent;
         let ended = AttemptEnded { request, attempt: number, outcome, closed, usage: None, load: None };
-        self.pending.push(Event::Ended(ended));
+        self.pending_events.push(Event::Ended(ended));
     }
 
-    /// Carries out an action. Returns the attempt that it asked for, if that was not sent.
+    /// Carries out an action. Returns the attempt that the action requested if it was not sent.
     fn apply_action(&mut self, action: Action, now: Instant) -> Option<UnsentAttempt> {
         match action {
             Action::Send { request, engine, timeout } => {
-                // The one place where a duration of the scheduler becomes an instant.
+                // Attempt timeouts are converted from the scheduler's durations to instants only here.
                 let timeout_at = timeout.map(|timeout| now + timeout);
                 return self.send_attempt(request, engine, timeout_at, now).err();
             }
-            Action::Cancel { request, attempt } => self.cancel(request, attempt),
+            Action::Cancel { request, attempt } => self.cancel_by_number(request, attempt),
             Action::Reject { request, retry_after } => {
                 self.log_exclusions(request);
                 self.respond(request, Response::Rejected { reason: Rejection::Busy, retry_after });
                 self.remove_if_complete(request);
             }
-            Action::Fail { request } => self.fail(request, now),
+            Action::Fail { request } => self.fail_request(request, now),
             Action::GrantResources { request, memory_mb, priority } => {
                 self.set_resource_grant(request, memory_mb, priority);
             }
@@ -59,7 +59,7 @@
                 self.report_ejection(engine, unresponsive, now + duration);
             }
             Action::Log(line) => info!(self.log, "scheduler message"; "text" => line),
-            // Health checks are not allowed here, and the name server is polled in any case.
+            // Health checks are not permitted here, and the name server is polled in any case.
             Action::CheckHealth(engine) => {
                 warn!(self.log, "health check skipped, not permitted"; "engine" => engine.0)
             }
@@ -68,8 +68,8 @@
         None
     }
 
-    /// Logs at debug level why the engines would not take a first attempt of a rejected request's class now. Costs
-    /// nothing at other levels.
+    /// Logs at debug level why no engine is eligible for a first attempt of a rejected request's class. Skipped without
+    /// cost at other levels.
     fn log_exclusions(&self, request: RequestId) {
         if !self.log.is_debug_enabled() {
             return;
@@ -81,21 +81,22 @@
             "exclusions" => exclusions.join("; "));
     }
 
-    fn cancel(&mut self, request: RequestId, attempt: AttemptNo) {
+    fn cancel_by_number(&mut self, request: RequestId, number: AttemptNo) {
         let in_flight = self.requests.in_flight(request).iter();
-        let found = in_flight.copied().find(|in_flight| in_flight.number == attempt);
+        let found = in_flight.copied().find(|in_flight| in_flight.number == number);
         if let Some(attempt) = found {
             self.cancel_attempt(attempt.id, Outcome::Cancelled);
         }
     }
 
-    fn fail(&mut self, request: RequestId, now: Instant) {
+    fn fail_request(&mut self, request: RequestId, now: Instant) {
         let is_late = self.requests.get(request).is_some_and(|open| open.request.deadline <= now);
         let response = if is_late {
             Response::Failed(Failure::Deadline)
         } else {
-            // The scheduler assumes of a request that is bound to an engine's group that it may have run.
-            self.rejection_or(request, Failure::Engine)
+            // The scheduler assumes that a request bound to an engine's group may have run; the idempotency tracker can
+            // know that it has not.
+            self.rejection_or_failure(request, Failure::Engine)
         };
         self.respond(request, response);
         self.remove_if_complete(request);
@@ -113,13 +114,13 @@
         }
     }
 
-    fn report_ejection(&mut self, engine: EngineId, unresponsive: bool, until: Instant) {
+    fn report_ejection(&mut self, engine: EngineId, unresponsive: bool, ejected_until: Instant) {
         let (reason, kind) = if unresponsive {
             ("unresponsive", OutlierKind::Unresponsive)
         } else {
             ("failing", OutlierKind::Failing)
         };
         info!(self.log, "engine ejected"; "reason" => reason, "engine" => engine.0);
-        self.report_outlier(OutlierReport { engine, kind, until });
+        self.report_outlier(OutlierReport { engine, kind, ejected_until });
     }
 }
--- a/gateway/src/broker/admission.rs
+++ b/gateway/src/broker/admission.rs
@@ -1,5 +1,5 @@
-//! Admission of a request before the scheduler gets it: the broker's own capacity, the team's quota, the start-up
-//! phase, and what is known of the request's idempotency key.
+//! Admission checks before a request is passed to the scheduler: the broker's capacity, the team's quota, the start-up
+//! phase, and what is known about the request's idempotency key.
 
 use super::Broker;
 use super::packed_rows::unpack;
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 impl<T: EngineTransport> Broker<T> {
-    /// A request has arrived.
+    /// Checks a request that has arrived.
     pub(super) fn on_request(
         &mut self,
         id: RequestId,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// What a request costs its team; `None` without quotas.
+    /// Returns the quota units to charge for a request; `None` without quotas.
     fn quota_request(&self, request: &Request) -> Result<Option<QuotaRequest>, Rejection> {
         match &self.quotas {
             Some(quotas) => quotas.quota_request(request.team.as_deref(), request.class).map(Some),
@@ -60,21 +60,21 @@
         }
     }
 
-    /// Charges a request's team. A shared store may take a while for that, so it is waited for in a task of its own.
+    /// Charges a request's team. This may involve a call to the shared store, so it runs in a separate task.
     fn spawn_quota_check(&self, id: RequestId, quota_request: QuotaRequest) {
         let Some(quotas) = self.quotas.clone() else { return };
-        let events = self.events.clone();
+        let events = self.event_sender.clone();
         tokio::spawn(async move {
             let decision = quotas.charge(&quota_request).await;
             let _ = events.send(BrokerEvent::QuotaDecided { request: id, decision }).await;
         });
     }
 
-    /// A request's team was charged, or has no quota left.
+    /// Continues with a request whose team has been charged, or rejects it if the quota is used up.
     pub(super) fn on_quota_decision(&mut self, id: RequestId, decision: QuotaDecision, now: Instant) {
         match decision {
             QuotaDecision::Admitted(charge) => {
-                self.keep_charge(id, charge);
+                self.record_charge(id, charge);
                 self.check_idempotency(id, now);
             }
             QuotaDecision::Exhausted(retry_after) => {
@@ -85,15 +85,15 @@
         }
     }
 
-    /// Records what was charged, or refunds it where the request has ended meanwhile.
-    fn keep_charge(&mut self, id: RequestId, charge: Charge) {
+    /// Records a charge, or refunds it if the request has ended meanwhile.
+    fn record_charge(&mut self, id: RequestId, charge: Charge) {
         match self.requests.get_unanswered_mut(id) {
             Some(open) => open.charge = Some(charge),
             None => self.refund(&charge),
         }
     }
 
-    /// Asks the recovery guard and the shared store what is known of a request's idempotency key.
+    /// Asks the recovery guard and the shared store what is known about a request's idempotency key.
     fn check_idempotency(&mut self, id: RequestId, now: Instant) {
         let Some(open) = self.requests.get_unanswered(id) else { return };
         let mut earlier = None;
@@ -105,15 +105,15 @@
                 }
             }
         }
-        // The store knows what all gateways have sent, so it takes precedence over this one's own records.
+        // The store knows what all gateways have sent, so it takes precedence over this gateway's own records.
         let step = match &mut self.idempotency {
-            Some(idempotency) => idempotency.arrive(id, &open.request, now),
+            Some(idempotency) => idempotency.on_arrival(id, &open.request, now),
             None => RequestStep::Proceed(earlier),
         };
         self.apply_idempotency_verdict(id, step, now);
     }
 
-    /// The shared store has answered a claim, or has not in time.
+    /// Continues with a request whose claim the shared store has answered; `answer` is `None` on timeout.
     pub(super) fn on_claim_answer(&mut self, id: RequestId, answer: Option<ClaimAnswer>, now: Instant) {
         let Some(idempotency) = &mut self.idempotency else { return };
         if let Some(step) = idempotency.on_claim_answer(id, answer) {
@@ -138,12 +138,12 @@
         self.remove_if_complete(id);
     }
 
-    /// Passes a request to the scheduler. `earlier` is an attempt of an earlier request with the same key.
+    /// Passes a request to the scheduler. `earlier` is an attempt of an earlier request with the same idempotency key.
     fn admit(&mut self, id: RequestId, earlier: Option<EarlierAttempt>, now: Instant) {
         let Some(open) = self.requests.get_unanswered_mut(id) else { return };
         open.first_sent_at = earlier.as_ref().and_then(|attempt| now.checked_sub(attempt.age));
         let request = &open.request;
-        self.pending.push(Event::Arrival(Arrival {
+        self.pending_events.push(Event::Arrival(Arrival {
             request: id,
             class: request.class,
             tenant: Default::default(),
--- a/gateway/src/broker/attempt_table/tests.rs
+++ b/gateway/src/broker/attempt_table/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn attempt(cancelling: Option<Outcome>) -> InFlightAttempt {
+fn attempt(cancel_outcome: Option<Outcome>) -> InFlightAttempt {
     InFlightAttempt {
         request: RequestId(1),
         number: AttemptNo(0),
@@ -8,12 +8,12 @@
         sent_at: Instant::now(),
         deadline: Instant::now(),
         cancelled: CancellationToken::new(),
-        cancelling,
+        cancel_outcome,
     }
 }
 
 #[test]
-fn ids_are_never_given_twice() {
+fn ids_are_never_reused() {
     let mut table = AttemptTable::default();
     let first = table.next_id();
     table.insert(first, attempt(None));
@@ -23,13 +23,13 @@
 }
 
 #[test]
-fn cancelled_attempt_can_not_be_cancelled_again() {
+fn cancelled_attempt_cannot_be_cancelled_again() {
     let mut table = AttemptTable::default();
     let (running, cancelled) = (table.next_id(), table.next_id());
     table.insert(running, attempt(None));
     table.insert(cancelled, attempt(Some(Outcome::TimedOut)));
     assert!(table.get_uncancelled_mut(running).is_some());
     assert!(table.get_uncancelled_mut(cancelled).is_none());
-    assert_eq!(table.cancelling_outcome(cancelled), Some(Outcome::TimedOut));
-    assert_eq!(table.cancelling_outcome(running), None);
+    assert_eq!(table.cancel_outcome(cancelled), Some(Outcome::TimedOut));
+    assert_eq!(table.cancel_outcome(running), None);
 }
--- a/gateway/src/broker/attempts.rs
+++ b/gateway/src/broker/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight: sending them, cancelling them, and their ends.
+//! Sending and cancelling attempts, and handling their results.
 
 use super::Broker;
 use super::attempt_table::InFlightAttempt;
@@ -13,17 +13,16 @@
 use slog::debug;
 use tokio::time::Instant;
 
-/// An attempt that the scheduler wanted and that was not sent.
+/// An attempt that the scheduler requested and that was not sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UnsentAttempt {
-    /// The request that it belongs to.
     pub(super) request: RequestId,
-    /// Its number among the request's attempts.
+    /// Number of the attempt within its request.
     pub(super) number: AttemptNo,
 }
 
 impl<T: EngineTransport> Broker<T> {
-    /// Sends an attempt that times out at `timeout_at`, or at its request's deadline if that is earlier.
+    /// Sends an attempt that times out at `timeout_at` or at its request's deadline, whichever is earlier.
     pub(super) fn send_attempt(
         &mut self,
         request: RequestId,
@@ -34,11 +33,11 @@
         let Some(open) = self.requests.get_mut(request) else {
             return Err(UnsentAttempt { request, number: AttemptNo(0) });
         };
-        let number = AttemptNo(open.attempts);
+        let number = AttemptNo(open.attempt_count);
         let unsent = UnsentAttempt { request, number };
-        open.attempts += 1;
+        open.attempt_count += 1;
         if open.disconnected.is_cancelled() {
-            // The event for that is still in the queue, or found no room there.
+            // The disconnect event is still in the queue, or was dropped because the queue was full.
             self.on_disconnect(request);
             return Err(unsent);
         }
@@ -55,9 +54,9 @@
             None => open.request.deadline,
         };
         let dedup_window = self.limits.dedup_windows.get(open.request.class.0).copied().flatten();
-        let keys_forgotten_at =
+        let dedup_window_end =
             open.first_sent_at.zip(dedup_window).and_then(|(sent_at, window)| sent_at.checked_add(window));
-        let write_deadline = keys_forgotten_at.map_or(deadline, |forgotten_at| forgotten_at.min(deadline));
+        let write_deadline = dedup_window_end.map_or(deadline, |window_end| window_end.min(deadline));
         let attempt = attempt_request(open, id, engine, deadline, write_deadline);
         let in_flight = InFlightAttempt {
             request,
@@ -66,7 +65,7 @@
             sent_at: now,
             deadline,
             cancelled: attempt.cancelled.clone(),
-            cancelling: None,
+            cancel_outcome: None,
         };
         if !self.start_attempt(request, attempt, now) {
             return Err(unsent);
@@ -75,8 +74,8 @@
         Ok(())
     }
 
-    /// Hands an attempt to the transport, or keeps it until the shared store has recorded it. Returns `false` if it is
-    /// not sent and never will be.
+    /// Passes an attempt to the transport, or holds it until the shared store has recorded it. Returns `false` if it
+    /// was not sent and will not be sent later.
     fn start_attempt(&mut self, request: RequestId, attempt: AttemptRequest, now: Instant) -> bool {
         let id = attempt.id;
         let verdict = match &mut self.idempotency {
@@ -84,8 +83,8 @@
             None => SendVerdict::Send(attempt),
         };
         match verdict {
-            SendVerdict::Never => {
-                self.end_unsendable(request);
+            SendVerdict::DoNotSend => {
+                self.end_unsendable_request(request);
                 return false;
             }
             SendVerdict::AwaitRecord => {}
@@ -108,44 +107,45 @@
         }
         self.attempts.insert(id, attempt);
         self.timers.arm(deadline, Timer::Attempt(id));
-        self.counters.sent += 1;
+        self.counters.attempts_sent += 1;
         debug!(self.log, "attempt sent"; "trace" => self.requests.trace_text(request),
             "attempt" => number.0, "engine" => engine.0);
     }
 
-    /// The shared store has recorded where an attempt goes, or has not in time.
+    /// Sends an attempt whose destination the shared store has recorded, or ends it if it may not be sent. `recorded`
+    /// is `None` if the store did not answer in time.
     pub(super) fn on_send_recorded(
         &mut self,
         id: AttemptId,
-        sent: SendRecord,
+        record: SendRecord,
         recorded: Option<bool>,
         now: Instant,
     ) {
         let Some(request) = self.attempts.get(id).map(|attempt| attempt.request) else { return };
         let tracker = self.idempotency.as_mut();
-        let attempt = tracker.and_then(|tracker| tracker.on_send_recorded(request, id, sent, recorded));
+        let attempt = tracker.and_then(|tracker| tracker.on_send_recorded(request, id, record, recorded));
         let Some(attempt) = attempt else {
             self.on_attempt_ended(id, Outcome::NeverSent.into());
-            self.end_unsendable(request);
+            self.end_unsendable_request(request);
             return;
         };
         if recorded == Some(true) {
-            self.pending.push(Event::BoundToGroup(request));
+            self.pending_events.push(Event::BoundToGroup(request));
         }
         if !self.transport.start(attempt, now) {
             self.on_attempt_ended(id, Outcome::NeverSent.into());
         }
     }
 
-    /// Cancels an attempt, which then ends with this outcome. Where a request may have only one attempt in flight, it
-    /// stays in flight until the cancellation has been written to its engine; else the next attempt could overtake it.
+    /// Cancels an attempt, which then ends with this outcome. Without hedging the attempt stays in flight until its
+    /// cancellation has been written to the engine; otherwise the next attempt could overtake the cancellation.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         let Some(attempt) = self.attempts.get_uncancelled_mut(id) else { return };
         attempt.cancelled.cancel();
-        let is_confirmed_later = self.transport.cancel(id);
+        let awaits_confirmation = self.transport.cancel(id);
         let may_retry = self.requests.is_unanswered(attempt.request);
-        if is_confirmed_later && may_retry && !self.limits.allows_hedging {
-            attempt.cancelling = Some(outcome);
+        if awaits_confirmation && may_retry && !self.limits.allows_hedging {
+            attempt.cancel_outcome = Some(outcome);
             let deadline = attempt.deadline;
             self.timers.disarm(deadline, Timer::Attempt(id));
         } else {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// An attempt has ended: responds to its client if it was served, and tells the scheduler.
+    /// Handles the end of an attempt: responds to the client if it succeeded, and notifies the scheduler.
     pub(super) fn on_attempt_ended(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(attempt) = self.attempts.remove(id) else { return };
         let AttemptResult { outcome, usage, load, rows } = result;
@@ -168,7 +168,7 @@
             closed = true;
         }
         let (request, number) = (attempt.request, attempt.number);
-        self.pending.push(Event::Ended(AttemptEnded {
+        self.pending_events.push(Event::Ended(AttemptEnded {
             request,
             attempt: number,
             outcome,
@@ -181,7 +181,7 @@
         self.remove_if_complete(request);
     }
 
-    /// Updates the request of an attempt that has ended. Returns whether the request needs no response any more.
+    /// Updates the request of an attempt that has ended. Returns whether the request needs no response any longer.
     fn record_attempt_end(&mut self, id: AttemptId, attempt: &InFlightAttempt, outcome: Outcome) -> bool {
         let Some(open) = self.requests.get_mut(attempt.request) else { return true };
         open.in_flight.retain(|in_flight| in_flight.id != id);
@@ -191,19 +191,19 @@
         }
         let needs_no_response = !open.is_unanswered();
         let is_error = outcome == Outcome::Error;
-        // A second error is the request's own fault, and says nothing about the engine.
+        // A second error is attributed to the request itself and is no evidence against the engine.
         let is_repeated_error = is_error && open.had_error;
         open.had_error |= is_error;
         let has_failed = matches!(outcome, Outcome::Error | Outcome::Reset | Outcome::ConnectFailed);
         if has_failed && !is_repeated_error {
             let (engine, kind) = (attempt.engine, OutlierKind::AttemptFailed);
-            self.report_outlier(OutlierReport { engine, kind, until: Instant::now() });
+            self.report_outlier(OutlierReport { engine, kind, ejected_until: Instant::now() });
         }
         needs_no_response
     }
 
-    /// Reports to other gateways what was observed of an engine. If the queue for that is full, the report is lost until
-    /// the same is observed again.
+    /// Reports an observation of an engine to other gateways. If the queue is full, the report is dropped, and lost
+    /// until the same is observed again.
     pub(super) fn report_outlier(&self, report: OutlierReport) {
         if let Some(gossip) = &self.context.gossip {
             let _ = gossip.outliers.try_send(report);
@@ -211,7 +211,7 @@
     }
 }
 
-/// The attempt as its transport gets it.
+/// Builds the attempt that is passed to the transport.
 fn attempt_request(
     open: &OpenRequest,
     id: AttemptId,
@@ -231,7 +231,7 @@
         idempotency_key: request.idempotency_key.clone(),
         memory_mb: open.memory_mb,
         priority: open.priority,
-        update: request.update,
+        is_update: request.is_update,
         statement: request.statement.clone(),
     }
 }
--- a/gateway/src/broker/counters.rs
+++ b/gateway/src/broker/counters.rs
@@ -1,42 +1,42 @@
-//! Counters of the broker, and their record in the log.
+//! The broker's counters and their periodic log record.
 
 use slog::{Logger, info};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often the counts are logged, while they change.
+/// Interval at which changed counters are logged.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Counts since the start of the process.
+/// Counts of events since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests that arrived.
     pub arrived: u64,
-    /// Requests answered with rows.
+    /// Requests answered with a result.
     pub served: u64,
-    /// Requests rejected.
+    /// Requests answered with a rejection.
     pub rejected: u64,
-    /// Requests failed.
+    /// Requests answered with a failure.
     pub failed: u64,
-    /// Requests whose client disconnected.
+    /// Requests whose client disconnected before the response.
     pub disconnected: u64,
-    /// Attempts sent.
-    pub sent: u64,
+    /// Attempts passed to a transport or held until the shared store has recorded them.
+    pub attempts_sent: u64,
 }
 
-/// Logs the counters once a second.
-pub(super) struct PeriodicReport {
+/// Logs the counters periodically.
+pub(super) struct CounterLogger {
     last: Counters,
     reported_at: Instant,
 }
 
-impl PeriodicReport {
-    /// A report that was last made `now`, with all counts at 0.
+impl CounterLogger {
+    /// Creates a logger whose first interval begins at `now`, with all counts at 0.
     pub(super) fn new(now: Instant) -> Self {
         Self { last: Counters::default(), reported_at: now }
     }
 
-    /// Logs the counts if they have changed, once an interval. Returns whether an interval is over.
+    /// At the end of each interval, logs the counts if they have changed. Returns whether an interval has ended.
     pub(super) fn tick(
         &mut self,
         counters: Counters,
@@ -51,7 +51,7 @@
         if self.last != counters {
             info!(log, "counters"; "arrived" => counters.arrived, "served" => counters.served,
                 "rejected" => counters.rejected, "failed" => counters.failed,
-                "disconnected" => counters.disconnected, "attempts_sent" => counters.sent,
+                "disconnected" => counters.disconnected, "attempts_sent" => counters.attempts_sent,
                 "requests_open" => open_requests, "attempts_in_flight" => in_flight_attempts);
         }
         self.last = counters;
--- a/gateway/src/broker/mod.rs
+++ b/gateway/src/broker/mod.rs
@@ -1,7 +1,7 @@
-//! The broker: one task that owns the scheduler and the tables of requests and attempts. It takes events from a
-//! bounded queue, steps the scheduler in batches and carries out its actions through an [`EngineTransport`]. The
-//! channel for a request's response is taken out of its table entry to send the response, so that there is exactly
-//! one. The broker knows no wire format and never waits for a front, a transport or a store.
+//! The broker: a task that owns the scheduler and the tables of requests and attempts. It receives events from a
+//! bounded queue, passes them to the scheduler in batches and carries out the scheduler's actions through an
+//! [`EngineTransport`]. Sending a response removes its channel from the request's table entry, so each request gets
+//! exactly one response. The broker depends on no wire format and never blocks on a front, a transport or a store.
 
 mod actions;
 mod admission;
@@ -30,7 +30,7 @@
 use crate::shutdown::Phase;
 use crate::unix_clock::unix_micros;
 use attempt_table::AttemptTable;
-use counters::PeriodicReport;
+use counters::CounterLogger;
 use idempotency::IdempotencyTracker;
 use recovery_guard::RecoveryGuard;
 use reedwalk_operations::CapacityShare;
@@ -44,51 +44,51 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// Events that wait in the broker's queue at most.
+/// Maximum number of events in the broker's queue.
 pub const QUEUE_CAPACITY: usize = 4096;
-/// Events that one step processes at most.
+/// Maximum number of events processed in one step.
 const MAX_EVENTS_PER_STEP: usize = 256;
-/// Open requests at most: what the memory limit leaves room for, results included.
+/// Maximum number of open requests. The process's memory limit leaves room for this many, including their results.
 const MAX_OPEN_REQUESTS: usize = 1024;
-/// How often the broker looks for clients that disconnected without an event in the queue, while any request is open:
-/// well inside the time after which nothing more may be sent for them.
+/// Interval between scans for clients whose disconnect found no room in the queue, while any request is open. It is
+/// well below the time after a disconnect from which on nothing may be sent for the client.
 const DISCONNECT_SCAN_INTERVAL: Duration = Duration::from_millis(50);
-/// How long the broker sleeps at most with nothing to wait for.
-const MAX_IDLE: Duration = Duration::from_secs(1);
+/// Maximum sleep when nothing is scheduled.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// What the broker shares with the rest of the program.
+/// State and channels that the broker shares with other subsystems.
 #[derive(Clone, Debug)]
 pub struct BrokerContext {
-    /// Mailbox for the updates of the endpoint registry.
+    /// Endpoint updates from the endpoint registry.
     pub endpoints: EndpointMailbox,
-    /// The metrics.
+    /// The metrics of this process.
     pub metrics: Arc<Metrics>,
     /// This process's share of the gateway's capacity.
     pub share: watch::Receiver<CapacityShare>,
-    /// The phase of this process's shutdown.
+    /// This process's shutdown phase.
     pub phase: watch::Receiver<Phase>,
-    /// The store in which gateways share idempotency keys, if they do.
+    /// The store for idempotency keys shared between gateways, if configured.
     pub shared_store: Option<Arc<SharedStoreClient>>,
-    /// Reports for other gateways, if gossip is on.
+    /// Channels for reports to other gateways, if gossip is enabled.
     pub gossip: Option<GossipHandle>,
 }
 
 /// Optional subsystems of a broker.
 #[derive(Default)]
 pub struct BrokerOptions {
-    /// The teams' quotas, if there are any.
+    /// The quotas of teams, if configured.
     pub quotas: Option<Arc<QuotaManager>>,
-    /// Events to be persisted, if persistence is on.
+    /// Persistence and recovery of the broker's state, if enabled.
     pub recovery: Option<RecoverySetup>,
 }
 
-/// What the settings allow a request.
+/// Limits from the settings that apply to requests.
 struct RequestLimits {
     max_attempts: u32,
     retry_after: Option<Duration>,
-    /// For each class, how long engines remember its idempotency keys, if it has any.
+    /// For each class, how long engines remember its idempotency keys; `None` for a class without keys.
     dedup_windows: Vec<Option<Duration>>,
-    /// A request may have two attempts in flight (hedging).
+    /// Whether a request may have two attempts in flight (hedging).
     allows_hedging: bool,
 }
 
@@ -106,7 +106,7 @@
     }
 }
 
-/// The scheduler's clock: microseconds of the Unix clock, counted on from the start by the monotonic clock.
+/// The scheduler's clock: Unix time in microseconds at the start, advanced by the monotonic clock.
 struct SchedulerClock {
     started_us: u64,
     started_at: Instant,
@@ -122,14 +122,14 @@
     }
 }
 
-/// The owner of the scheduler and of all open requests.
+/// Owns the scheduler and all open requests.
 pub struct Broker<T> {
     context: BrokerContext,
     scheduler: Scheduler,
     transport: T,
     quotas: Option<Arc<QuotaManager>>,
-    /// Sender of the broker's own queue, for tasks that wait for something on its behalf.
-    events: mpsc::Sender<BrokerEvent>,
+    /// Sending side of the broker's own queue, for tasks that wait for an answer on its behalf.
+    event_sender: mpsc::Sender<BrokerEvent>,
     idempotency: Option<IdempotencyTracker>,
     recovery: Option<RecoveryGuard>,
     limits: RequestLimits,
@@ -138,20 +138,20 @@
     timers: Timers,
     clock: SchedulerClock,
     /// Events for the scheduler's next step.
-    pending: Vec<Event>,
+    pending_events: Vec<Event>,
     capacity_share: f64,
-    /// When the scheduler wants to be stepped at the latest.
+    /// The latest time of the scheduler's next step, if it has requested one.
     wake_at: Option<Instant>,
-    /// When every request must have its response, once this process shuts down.
+    /// When every request must have been answered; set once this process shuts down.
     shutdown_deadline: Option<Instant>,
     next_disconnect_scan: Instant,
     counters: Counters,
-    report: PeriodicReport,
+    counter_logger: CounterLogger,
     log: Logger,
 }
 
 impl<T: EngineTransport> Broker<T> {
-    /// A broker around a scheduler and a transport. `events` is the sending side of the queue that [`Self::run`] takes.
+    /// Creates a broker. `events` is the sending side of the queue that is passed to [`Self::run`].
     pub fn new(
         scheduler: Scheduler,
         transport: T,
@@ -173,7 +173,7 @@
             scheduler,
             transport,
             quotas: options.quotas,
-            events,
+            event_sender: events,
             idempotency,
             recovery,
             limits: RequestLimits::new(deployment),
@@ -181,18 +181,18 @@
             attempts: AttemptTable::default(),
             timers: Timers::default(),
             clock: SchedulerClock::start(now),
-            pending: Vec::new(),
+            pending_events: Vec::new(),
             capacity_share: 1.0,
             wake_at: Some(now),
             shutdown_deadline: None,
             next_disconnect_scan: now,
             counters: Counters::default(),
-            report: PeriodicReport::new(now),
+            counter_logger: CounterLogger::new(now),
             log,
         }
     }
 
-    /// Runs for as long as the program does.
+    /// Processes events until the program ends.
     pub async fn run(mut self, mut events: mpsc::Receiver<BrokerEvent>) {
         let mut batch = Vec::with_capacity(MAX_EVENTS_PER_STEP);
         loop {
@@ -205,14 +205,14 @@
                 () = sleep_until(wake_up) => {}
             }
             let now = Instant::now();
-            // The state of the engines and of this process is up to date before anything is decided.
+            // Decisions on the events need the current state of the engines and of this process.
             self.update_endpoints();
             self.update_capacity_share();
             self.update_shutdown_deadline();
             for event in batch.drain(..) {
                 self.on_event(event, now);
             }
-            self.expire(now);
+            self.process_timers(now);
             self.step_scheduler(now);
             self.tick_recovery(now);
         }
@@ -221,21 +221,21 @@
     fn next_wake_up(&self) -> Instant {
         let disconnect_scan = (!self.requests.is_empty()).then_some(self.next_disconnect_scan);
         let next = [self.timers.next_expiry(), self.wake_at, disconnect_scan];
-        next.into_iter().flatten().min().unwrap_or_else(|| Instant::now() + MAX_IDLE)
+        next.into_iter().flatten().min().unwrap_or_else(|| Instant::now() + MAX_SLEEP)
     }
 
-    /// Reads what the endpoint registry has written.
+    /// Applies the endpoint registry's updates.
     fn update_endpoints(&mut self) {
-        let updates = self.context.endpoints.read();
+        let updates = self.context.endpoints.take();
         if updates.is_empty() {
             return;
         }
         let mut entries = Vec::with_capacity(updates.len());
         for update in updates {
             let entry = update.endpoint.entry;
-            let is_gone = entry.state == EngineState::Removed;
+            let is_removed = entry.state == EngineState::Removed;
             let address = EngineAddress { address: update.endpoint.address, drain_guard: update.drain_guard };
-            self.transport.set_endpoint(entry.engine, (!is_gone).then_some(address));
+            self.transport.set_endpoint(entry.engine, (!is_removed).then_some(address));
             entries.push(entry);
         }
         if let Some(idempotency) = &mut self.idempotency {
@@ -244,20 +244,20 @@
         if let Some(recovery) = &mut self.recovery {
             recovery.update_endpoints(&entries);
         }
-        self.pending.push(Event::Endpoints { scope: EndpointScope::Changes, entries });
+        self.pending_events.push(Event::Endpoints { scope: EndpointScope::Changes, entries });
     }
 
-    /// Takes over this process's share of the capacity where it has changed.
+    /// Applies this process's share of the capacity if it has changed.
     fn update_capacity_share(&mut self) {
         let share = self.context.share.borrow_and_update().share;
         if share != self.capacity_share {
             self.capacity_share = share;
             self.transport.set_capacity_share(share);
-            self.pending.push(Event::CapacityShare(share));
+            self.pending_events.push(Event::CapacityShare(share));
         }
     }
 
-    /// Shortens the deadlines of the open requests once this process shuts down.
+    /// Shortens the deadlines of the open requests when this process starts to shut down.
     fn update_shutdown_deadline(&mut self) {
         let deadline = self.context.phase.borrow_and_update().end().map(|end| end.answered);
         if deadline == self.shutdown_deadline {
@@ -280,38 +280,38 @@
                 self.on_quota_decision(request, decision, now);
             }
             BrokerEvent::ClaimAnswered { request, answer } => self.on_claim_answer(request, answer, now),
-            BrokerEvent::SendRecorded { attempt, sent, recorded } => {
-                self.on_send_recorded(attempt, sent, recorded, now);
+            BrokerEvent::SendRecorded { attempt, record, recorded } => {
+                self.on_send_recorded(attempt, record, recorded, now);
             }
             BrokerEvent::EjectedByGossip { engine, until } => {
                 let duration = until.saturating_duration_since(now);
-                self.pending.push(Event::EjectedByGossip { engine, duration });
+                self.pending_events.push(Event::EjectedByGossip { engine, duration });
             }
             BrokerEvent::EngineRestarted { engine, started } => {
-                self.pending.push(Event::EngineRestarted { engine, started });
+                self.pending_events.push(Event::EngineRestarted { engine, started });
             }
             BrokerEvent::SlowdownObserved { engine, slowdown } => {
-                self.pending.push(Event::SlowdownObserved { engine, slowdown });
+                self.pending_events.push(Event::SlowdownObserved { engine, slowdown });
             }
-            BrokerEvent::LiveGateways(count) => self.pending.push(Event::LiveGateways(count)),
+            BrokerEvent::LiveGateways(count) => self.pending_events.push(Event::LiveGateways(count)),
         }
     }
 
     fn on_attempt_event(&mut self, id: AttemptId, event: AttemptEvent) {
         match event {
-            AttemptEvent::Progress(note) => {
+            AttemptEvent::Progress(report) => {
                 if let Some(attempt) = self.attempts.get(id) {
                     let (request, attempt) = (attempt.request, attempt.number);
-                    self.pending.push(Event::Progress { request, attempt, report: note });
+                    self.pending_events.push(Event::Progress { request, attempt, report });
                 }
             }
             AttemptEvent::CancelConfirmed => {
-                if let Some(outcome) = self.attempts.cancelling_outcome(id) {
+                if let Some(outcome) = self.attempts.cancel_outcome(id) {
                     self.on_attempt_ended(id, outcome.into());
                 }
             }
             AttemptEvent::Ended(result) => {
-                // Late results of attempts that were cancelled find no entry, and are dropped.
+                // A late result of a cancelled attempt has no table entry and is dropped.
                 if self.attempts.get(id).is_some() {
                     self.transport.release(id);
                     self.on_attempt_ended(id, result);
--- a/gateway/src/broker/recovery_guard.rs
+++ b/gateway/src/broker/recovery_guard.rs
@@ -1,6 +1,6 @@
-//! What a gateway that recovers from a restart may do, as far as the broker is concerned: whether a request is admitted
-//! in the present start-up phase, what is known of its idempotency key, and when something has to be persisted. The
-//! decisions are made in `reedwalk-recovery`. Nothing here waits.
+//! The broker's part in recovery from a restart: whether the current start-up phase admits a request, what is known
+//! about the request's idempotency key, and when state has to be persisted. The decisions are made in
+//! `reedwalk-recovery`. Nothing here blocks.
 
 use super::dedup_groups::DeduplicationGroups;
 use crate::health::Health;
@@ -20,72 +20,77 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Interval at which everything observed is persisted.
+/// Interval between snapshots of the complete state.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(5);
-/// How often the metrics are updated.
+/// Interval between updates of the metrics.
 const METRICS_INTERVAL: Duration = Duration::from_millis(200);
-/// Multiplier and increment of the linear congruential generator behind [`RecoveryGuard::draw`].
+/// Multiplier and increment of the linear congruential generator behind [`RecoveryGuard::random_fraction`].
 const LCG_MULTIPLIER: u64 = 0x5851_F42D_4C95_7F2D;
 const LCG_INCREMENT: u64 = 0x1405_7B7E_F767_814F;
 
-/// What a broker needs in order to persist its state and to recover it.
+/// Inputs for persisting and recovering the broker's state.
 #[derive(Debug)]
 pub struct RecoverySetup {
-    /// Where changes are persisted.
+    /// Queue of the persistence thread.
     pub persisted_events: mpsc::Sender<PersistedEvent>,
-    /// Idempotency keys that the previous process had persisted.
+    /// Idempotency keys persisted by the previous process.
     pub keys: Vec<KeyRecord>,
-    /// There is a name server, and its first answer is waited for.
+    /// Whether a name server is configured, whose first answer is then awaited.
     pub has_name_server: bool,
-    /// Reports whether clients are served.
+    /// Health status, which shows whether clients are served.
     pub health: Health,
 }
 
-/// Whether a request may be admitted.
+/// Whether recovery allows a request to be admitted.
 pub(super) enum RecoveryVerdict {
-    /// It may, bound to where an attempt of an earlier request of its key was sent, if one was.
+    /// The request is admitted. It is bound to the group of an earlier attempt with the same key, if there was one.
     Admit(Option<EarlierAttempt>),
-    /// It may not; the client is asked to wait that long before it retries.
+    /// The request is rejected; the client should wait this long before a retry.
     Reject(Duration),
 }
 
 #[derive(Default)]
-struct Counters {
+struct RecoveryCounters {
     rejected: u64,
-    bound: u64,
+    bound_to_group: u64,
     not_persisted: u64,
 }
 
-/// Start-up phases and persisted idempotency keys; the decisions are made in `reedwalk-recovery`.
+/// Applies the start-up phases and the persisted idempotency keys to requests.
 pub(super) struct RecoveryGuard {
     persisted_events: mpsc::Sender<PersistedEvent>,
     health: Health,
     metrics: Arc<Metrics>,
     phases: StartupPhases,
     keys: KnownKeys,
-    classes: Vec<Option<Deduplication>>,
+    dedup_by_class: Vec<Option<Deduplication>>,
     groups: DeduplicationGroups,
     next_snapshot: Instant,
     next_metrics: Instant,
-    /// The Unix time at the start, and the instant of that.
+    /// Unix time at the start; `started_at` is the same moment on the monotonic clock.
     started_ms: Millis,
     started_at: Instant,
-    counters: Counters,
-    random: u64,
+    counters: RecoveryCounters,
+    random_state: u64,
     log: Logger,
 }
 
 impl RecoveryGuard {
-    /// A guard in the first start-up phase.
+    /// Creates a guard in the first start-up phase.
     pub(super) fn new(
         setup: RecoverySetup,
         deployment: &Deployment,
         metrics: Arc<Metrics>,
         log: Logger,
     ) -> Self {
-        let classes: Vec<_> =
+        let dedup_by_class: Vec<_> =
             deployment.scheduler.classes.iter().map(|class| class.idempotency.deduplication()).collect();
-        let window = classes.iter().flatten().map(|class| key_rules(*class).window).max().unwrap_or(0);
+        let window = dedup_by_class
+            .iter()
+            .flatten()
+            .map(|deduplication| key_rules(*deduplication).window)
+            .max()
+            .unwrap_or(0);
         let (started_ms, now) = (unix_ms(), Instant::now());
         let phases = StartupPhases::new(StartupSetup {
             started: started_ms,
@@ -99,14 +104,14 @@
             metrics,
             phases,
             keys: KnownKeys::new(&setup.keys, window, started_ms),
-            classes,
+            dedup_by_class,
             groups: DeduplicationGroups::default(),
             next_snapshot: now,
             next_metrics: now,
             started_ms,
             started_at: now,
-            counters: Counters::default(),
-            random: started_ms,
+            counters: RecoveryCounters::default(),
+            random_state: started_ms,
             log,
         };
         guard.update_health();
@@ -121,35 +126,35 @@
         self.started_ms + now.saturating_duration_since(self.started_at).as_millis() as Millis
     }
 
-    /// A number from 0 to 1 that need only differ from one request to the next.
-    fn draw(&mut self) -> f64 {
-        self.random = self.random.wrapping_mul(LCG_MULTIPLIER).wrapping_add(LCG_INCREMENT);
-        (self.random >> 32) as f64 / f64::from(u32::MAX)
+    /// Returns a number from 0 to 1. It only has to differ from request to request.
+    fn random_fraction(&mut self) -> f64 {
+        self.random_state = self.random_state.wrapping_mul(LCG_MULTIPLIER).wrapping_add(LCG_INCREMENT);
+        (self.random_state >> 32) as f64 / f64::from(u32::MAX)
     }
 
-    /// Applies changed entries of the endpoint list.
+    /// Applies changes of the endpoint list.
     pub(super) fn update_endpoints(&mut self, entries: &[EngineEntry]) {
         self.groups.update(entries);
     }
 
-    /// Whether a request that has arrived may be admitted.
+    /// Decides whether a request that has arrived may be admitted.
     pub(super) fn check(&mut self, request: &Request, now: Instant) -> RecoveryVerdict {
         let now_ms = self.unix_ms(now);
-        let draw = self.draw();
-        if let AdmissionDecision::NotBefore(at_ms) = self.phases.admits(draw) {
+        let random_fraction = self.random_fraction();
+        if let AdmissionDecision::NotBefore(at_ms) = self.phases.admits(random_fraction) {
             return self.reject_until(at_ms, now_ms);
         }
-        let Some(class) = self.classes.get(request.class.0).copied().flatten() else {
+        let Some(deduplication) = self.dedup_by_class.get(request.class.0).copied().flatten() else {
             return RecoveryVerdict::Admit(None);
         };
         let Some(idempotency_key) = request.idempotency_key.as_deref() else {
             return RecoveryVerdict::Admit(None);
         };
         let key = reedwalk_settings::key(idempotency_key).0;
-        match self.keys.on_request(key, key_rules(class), request.is_retry, &self.phases, now_ms) {
+        match self.keys.on_request(key, key_rules(deduplication), request.is_retry, &self.phases, now_ms) {
             KeyVerdict::First => RecoveryVerdict::Admit(None),
             KeyVerdict::Repeat { group, age } => {
-                self.counters.bound += 1;
+                self.counters.bound_to_group += 1;
                 RecoveryVerdict::Admit(Some(EarlierAttempt { group, age: Duration::from_millis(age) }))
             }
             KeyVerdict::NotBefore(at_ms) => self.reject_until(at_ms, now_ms),
@@ -162,11 +167,11 @@
         RecoveryVerdict::Reject(Duration::from_millis(wait_ms))
     }
 
-    /// An attempt is about to be sent: persists its idempotency key, if that is new.
+    /// Persists the idempotency key of an attempt that is about to be sent, if the key is new.
     pub(super) fn before_send(&mut self, request: &Request, engine: EngineId, now: Instant) {
-        let Some(class) = self.classes.get(request.class.0).copied().flatten() else { return };
+        let Some(deduplication) = self.dedup_by_class.get(request.class.0).copied().flatten() else { return };
         let Some(idempotency_key) = request.idempotency_key.as_deref() else { return };
-        let group = self.groups.group_of(engine, class.scope);
+        let group = self.groups.group_of(engine, deduplication.scope);
         let now_ms = self.unix_ms(now);
         if let Some(key) = self.keys.on_send(reedwalk_settings::key(idempotency_key).0, group, now_ms) {
             self.persist(PersistedEvent::IdempotencyKey(key));
@@ -179,7 +184,7 @@
         }
     }
 
-    /// Advances the start-up phase, and persists what was learned and updates the metrics when it is time.
+    /// Advances the start-up phase, and persists a snapshot and updates the metrics when they are due.
     pub(super) fn tick(&mut self, scheduler: &Scheduler, discovery_answered: bool, now: Instant) {
         self.advance_phase(scheduler, discovery_answered, now);
         if now >= self.next_snapshot {
@@ -204,8 +209,8 @@
             self.phases.set_warm_share(scheduler.mean_warm_up(), now_ms);
         }
         self.phases.advance(now_ms);
-        for (stage, at_ms, reason) in &self.phases.completed_phases()[phases_before..] {
-            info!(self.log, "start-up phase over"; "phase" => stage.name(), "reason" => reason.name(),
+        for (phase, at_ms, reason) in &self.phases.completed_phases()[phases_before..] {
+            info!(self.log, "start-up phase over"; "phase" => phase.name(), "reason" => reason.name(),
                 "elapsed_ms" => at_ms - self.started_ms, "next_phase" => self.phases.phase().name());
         }
         if self.phases.completed_phases().len() > phases_before {
@@ -217,12 +222,15 @@
         self.metrics.set_recovery(vec![
             Metric::gauge("stage", self.phases.phase() as u64),
             Metric::counter("refused", self.counters.rejected),
-            Metric::counter("bound", self.counters.bound),
+            Metric::counter("bound", self.counters.bound_to_group),
             Metric::counter("unkept", self.counters.not_persisted),
         ]);
     }
 }
 
-fn key_rules(class: Deduplication) -> KeyRules {
-    KeyRules { one_group: class.scope == KeyScope::All, window: class.window.as_millis() as Millis }
+fn key_rules(deduplication: Deduplication) -> KeyRules {
+    KeyRules {
+        one_group: deduplication.scope == KeyScope::All,
+        window: deduplication.window.as_millis() as Millis,
+    }
 }
--- a/gateway/src/broker/request_table/tests.rs
+++ b/gateway/src/broker/request_table/tests.rs
@@ -14,12 +14,12 @@
         work: None,
         memory_mb: None,
         table_group: None,
-        update: false,
+        is_update: false,
         statement: Bytes::from_static(b"SELECT 1"),
     }
 }
 
-/// Adds a request; its client holds the receiver and the token.
+/// Adds a request. Returns the client's ends: the receiver of the response and the disconnect token.
 fn open(
     table: &mut RequestTable,
     id: u64,
@@ -37,7 +37,7 @@
 fn response_is_taken_once() {
     let mut table = RequestTable::new(8);
     let (mut client, _) = open(&mut table, 1, "a", Instant::now());
-    let sender = table.take_response(RequestId(1)).expect("it is open");
+    let sender = table.take_response(RequestId(1)).expect("the request is open");
     assert!(table.take_response(RequestId(1)).is_none());
     sender.send(Response::Failed(Failure::Engine)).unwrap();
     assert_eq!(client.try_recv(), Ok(Response::Failed(Failure::Engine)));
@@ -47,7 +47,7 @@
 fn request_stays_open_while_it_waits_or_has_an_attempt_in_flight() {
     let mut table = RequestTable::new(8);
     let _client = open(&mut table, 1, "a", Instant::now());
-    assert!(table.remove_if_complete(RequestId(1)).is_none(), "it has no response");
+    assert!(table.remove_if_complete(RequestId(1)).is_none(), "the request is unanswered");
     table.take_response(RequestId(1));
     let attempt = AttemptRef { number: AttemptNo(0), id: AttemptId(5) };
     table.get_mut(RequestId(1)).unwrap().in_flight.push(attempt);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn only_deadlines_past_the_end_are_found() {
+fn only_requests_with_later_deadlines_are_found() {
     let now = Instant::now();
     let mut table = RequestTable::new(8);
     let _early = open(&mut table, 1, "a", now);
--- a/gateway/src/broker/requests.rs
+++ b/gateway/src/broker/requests.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its response, a client that disconnects, a deadline that passes.
+//! How requests end: by a response, a disconnected client or an expired deadline.
 
 use super::timers::Timer;
 use super::{Broker, DISCONNECT_SCAN_INTERVAL};
@@ -8,17 +8,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The scheduler ends a request at its deadline; where it has not by this time after it, the broker does, still inside
-/// the slack that the rules allow.
+/// The scheduler ends a request at its deadline. If it has not done so this long after the deadline, the broker does,
+/// still within the slack that the rules allow.
 const DEADLINE_GRACE: Duration = Duration::from_millis(8);
 
-/// The timer of a request with this deadline, and when it expires.
+/// Returns the timer of a request with this deadline, and when it expires.
 pub(super) fn request_timer(id: RequestId, deadline: Instant) -> (Instant, Timer) {
     (deadline + DEADLINE_GRACE, Timer::Request(id))
 }
 
 impl<T: EngineTransport> Broker<T> {
-    /// Sends a request's final response, if it has had none.
+    /// Sends a request's final response, unless the request has already been answered.
     pub(super) fn respond(&mut self, id: RequestId, response: Response) {
         let Some(sender) = self.requests.take_response(id) else { return };
         debug!(self.log, "request answered"; "trace" => self.requests.trace_text(id),
@@ -39,12 +39,12 @@
             };
             idempotency.on_request_ended(id, rows);
         }
-        // A client that has just disconnected takes no response; none is owed to it.
+        // Sending fails if the client has just disconnected, which needs no handling.
         let _ = sender.send(response);
     }
 
-    /// Refunds the quota units of a rejected request. A rejection says that a retry is harmless, not that no engine has
-    /// worked on the request, so what may have run stays charged.
+    /// Refunds the quota units of a rejected request. A rejection means that a retry is safe, not that no engine has
+    /// worked on the request, so a request that may have run stays charged.
     fn refund_if_never_run(&mut self, id: RequestId) {
         let Some(open) = self.requests.get_mut(id) else { return };
         if open.may_have_run || !open.in_flight.is_empty() {
@@ -55,38 +55,39 @@
         }
     }
 
-    /// Refunds what was charged for a request that never ran.
+    /// Refunds the quota units charged for a request that never ran.
     pub(super) fn refund(&self, charge: &Charge) {
         if let Some(quotas) = &self.quotas {
             quotas.refund(charge);
         }
     }
 
-    /// Rejects a request that may send nothing more where nothing of it can have run, and fails it otherwise.
-    pub(super) fn end_unsendable(&mut self, id: RequestId) {
-        let response = self.rejection_or(id, Failure::Engine);
+    /// Ends a request for which no further attempt may be sent: with a rejection if it cannot have run, otherwise with
+    /// a failure.
+    pub(super) fn end_unsendable_request(&mut self, id: RequestId) {
+        let response = self.rejection_or_failure(id, Failure::Engine);
         self.respond(id, response);
-        self.pending.push(Event::ClientDisconnected(id));
+        self.pending_events.push(Event::ClientDisconnected(id));
         self.remove_if_complete(id);
     }
 
-    /// A rejection where the idempotency tracker knows that a retry is harmless; else this failure.
-    pub(super) fn rejection_or(&self, id: RequestId, failure: Failure) -> Response {
+    /// Returns a rejection if the idempotency tracker knows that a retry is safe, otherwise `failure`.
+    pub(super) fn rejection_or_failure(&self, id: RequestId, failure: Failure) -> Response {
         let tracker = self.idempotency.as_ref();
-        if tracker.is_some_and(|idempotency| idempotency.is_retry_harmless(id)) {
+        if tracker.is_some_and(|idempotency| idempotency.is_safe_to_retry(id)) {
             return Response::Rejected { reason: Rejection::Busy, retry_after: self.limits.retry_after };
         }
         Response::Failed(failure)
     }
 
-    /// A request's client has disconnected.
+    /// Ends a request whose client has disconnected.
     pub(super) fn on_disconnect(&mut self, id: RequestId) {
         if self.requests.take_response(id).is_none() {
             return;
         }
         self.counters.disconnected += 1;
         debug!(self.log, "client disconnected"; "trace" => self.requests.trace_text(id));
-        // Even where engines allow no cancellation, an attempt that has not been written yet is withdrawn.
+        // Attempts that have not been written yet are withdrawn even if the engines support no cancellation.
         for attempt in self.requests.in_flight(id) {
             if let Some(attempt) = self.attempts.get(attempt.id) {
                 attempt.cancelled.cancel();
@@ -95,11 +96,11 @@
         if let Some(idempotency) = &mut self.idempotency {
             idempotency.on_request_ended(id, None);
         }
-        self.pending.push(Event::ClientDisconnected(id));
+        self.pending_events.push(Event::ClientDisconnected(id));
         self.remove_if_complete(id);
     }
 
-    /// Removes a request that has its response and nothing in flight.
+    /// Removes a request that has been answered and has no attempt in flight.
     pub(super) fn remove_if_complete(&mut self, id: RequestId) {
         if let Some(open) = self.requests.remove_if_complete(id) {
             let (at, timer) = request_timer(id, open.request.deadline);
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Moves all later deadlines to `end`.
+    /// Moves all request deadlines that are later than `end` to `end`.
     pub(super) fn shorten_deadlines(&mut self, end: Instant) {
         for (id, open) in self.requests.with_deadline_after(end) {
             let (at, timer) = request_timer(id, open.request.deadline);
@@ -118,8 +119,9 @@
         }
     }
 
-    /// Ends whatever has passed its deadline, and requests whose clients disconnected without an event.
-    pub(super) fn expire(&mut self, now: Instant) {
+    /// Ends attempts and requests whose deadlines have passed and requests whose clients disconnected without an event,
+    /// and wakes the scheduler when it is due.
+    pub(super) fn process_timers(&mut self, now: Instant) {
         if self.next_disconnect_scan <= now {
             self.next_disconnect_scan = now + DISCONNECT_SCAN_INTERVAL;
             for id in self.requests.disconnected() {
@@ -134,30 +136,30 @@
         }
         if self.wake_at.is_some_and(|wake_at| wake_at <= now) {
             self.wake_at = None;
-            self.pending.push(Event::WakeUp);
+            self.pending_events.push(Event::WakeUp);
             self.context.metrics.set_unavailable(self.scheduler.unavailable_engines());
-            self.report(now);
+            self.report_periodically(now);
         }
     }
 
     fn on_request_timeout(&mut self, id: RequestId) {
         if self.requests.is_unanswered(id) {
             self.respond(id, Response::Failed(Failure::Deadline));
-            self.pending.push(Event::ClientDisconnected(id));
+            self.pending_events.push(Event::ClientDisconnected(id));
             self.remove_if_complete(id);
         }
-        // No further attempt can follow: nothing waits for the confirmation of a cancellation any more.
+        // No further attempt can follow, so there is no need to wait for confirmations of cancellations.
         for attempt in self.requests.in_flight(id).to_vec() {
-            if let Some(outcome) = self.attempts.cancelling_outcome(attempt.id) {
+            if let Some(outcome) = self.attempts.cancel_outcome(attempt.id) {
                 self.on_attempt_ended(attempt.id, outcome.into());
             }
         }
     }
 
-    /// Logs the counters, and publishes what was observed of the engines for other gateways.
-    fn report(&mut self, now: Instant) {
+    /// Logs the counters and publishes the observations of engines to other gateways, once per interval.
+    fn report_periodically(&mut self, now: Instant) {
         let (open_requests, in_flight) = (self.requests.len(), self.attempts.len());
-        if !self.report.tick(self.counters, open_requests, in_flight, now, &self.log) {
+        if !self.counter_logger.tick(self.counters, open_requests, in_flight, now, &self.log) {
             return;
         }
         if let Some(gossip) = &self.context.gossip {
--- a/gateway/src/engine/flight/call.rs
+++ b/gateway/src/engine/flight/call.rs
@@ -93,7 +93,7 @@
     /// Makes the calls, and reports to the broker how they ended.
     pub async fn run(mut self, events: mpsc::Sender<BrokerEvent>) {
         let id = self.attempt.id;
-        let answer = if self.attempt.update { self.update().await } else { self.query().await };
+        let answer = if self.attempt.is_update { self.update().await } else { self.query().await };
         let result = attempt_result(answer);
         self.was_sent &= result.outcome != Outcome::ConnectFailed;
         let _ = events.send(BrokerEvent::Attempt { id, event: AttemptEvent::Ended(result) }).await;
--- a/gateway/src/engine/pool/tests.rs
+++ b/gateway/src/engine/pool/tests.rs
@@ -25,7 +25,7 @@
         idempotency_key: None,
         memory_mb: None,
         priority: 1,
-        update: false,
+        is_update: false,
         statement: Bytes::new(),
     }
 }
--- a/gateway/src/engine/resp/tests.rs
+++ b/gateway/src/engine/resp/tests.rs
@@ -33,7 +33,7 @@
         idempotency_key: None,
         memory_mb: None,
         priority: 1,
-        update: false,
+        is_update: false,
         statement: Bytes::from(vec![b'x'; size]),
     }
 }
--- a/gateway/src/front/flight/service.rs
+++ b/gateway/src/front/flight/service.rs
@@ -131,7 +131,7 @@
             work: header.work,
             memory_mb: header.memory_mb,
             table_group: table_group(text.as_bytes()),
-            update,
+            is_update: update,
             statement: text.into(),
         })
     }
@@ -166,7 +166,7 @@
         let class = statement.header.class;
         let handle = self.tickets.insert(statement, Instant::now());
         let handle = handle.ok_or_else(|| {
-            self.request_queue.count_rejected(class, RequestOutcome::Rejected);
+            self.request_queue.count_unqueued(class, RequestOutcome::Rejected);
             result::rejected(Rejection::Shed, Some(TICKET_RETRY))
         })?;
         let ticket = TicketStatementQuery { statement_handle: Bytes::copy_from_slice(&handle) };
--- a/gateway/src/front/mysql/session.rs
+++ b/gateway/src/front/mysql/session.rs
@@ -340,7 +340,7 @@
         let needs_key = class.idempotency.deduplication().is_some();
         if needs_key && fields.idempotency_key.is_none() {
             // Without its key a repeat would have a second effect.
-            self.front.request_queue.count_rejected(class_id, RequestOutcome::Failed);
+            self.front.request_queue.count_unqueued(class_id, RequestOutcome::Failed);
             return Err(BadFields::Absent("nonce"));
         }
         let timeout = Duration::from_millis(fields.timeout_ms);
@@ -354,7 +354,7 @@
             work: fields.work_ms.map(duration_from_ms),
             memory_mb: fields.memory_mb,
             table_group: sql::table_group(&statement),
-            update: class.is_load,
+            is_update: class.is_load,
             statement,
         })
     }
--- a/gateway/src/gossip/task.rs
+++ b/gateway/src/gossip/task.rs
@@ -198,7 +198,7 @@
             OutlierKind::Unresponsive => FactKind::Silent,
             OutlierKind::AttemptFailed => FactKind::AttemptFailed,
         };
-        let lasts = report.until.saturating_duration_since(Instant::now());
+        let lasts = report.ejected_until.saturating_duration_since(Instant::now());
         self.node.report_outlier(key, kind, now + lasts.as_millis() as Millis, now);
     }
 
--- a/gateway/src/message/attempt.rs
+++ b/gateway/src/message/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: what an engine transport is asked to send, what it reports, and the interface of a transport.
+//! Attempts: what the broker asks an engine transport to send, what the transport reports, and its interface.
 
 use super::endpoint::EngineAddress;
 use super::response::Rows;
@@ -7,50 +7,50 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Identifies one attempt among those of all requests; never used twice.
+/// Identifies one attempt among those of all requests. Ids are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
-/// An attempt that an engine transport is to send.
+/// An attempt for an engine transport to send.
 #[derive(Clone, Debug)]
 pub struct AttemptRequest {
-    /// Which attempt.
+    /// The attempt's id.
     pub id: AttemptId,
-    /// The engine it goes to.
+    /// The target engine.
     pub engine: EngineId,
-    /// The request's id, as its client gave it.
+    /// The request id chosen by the client.
     pub trace_id: Bytes,
     /// The request's class.
     pub class: ClassId,
     /// When the attempt times out.
     pub deadline: Instant,
-    /// From this instant on it must not begin to be written: its deadline, or the end of the window in which engines
-    /// remember its idempotency key.
+    /// Writing must begin before this instant: the deadline, or the end of the window in which engines remember the
+    /// idempotency key if that is earlier.
     pub write_deadline: Instant,
-    /// Cancelled when its client disconnects or the broker cancels it; it is not written after that.
+    /// Cancelled when the client disconnects or the broker cancels the attempt, which is not written after that.
     pub cancelled: CancellationToken,
-    /// Idempotency key.
+    /// The client's idempotency key.
     pub idempotency_key: Option<Bytes>,
-    /// Memory granted in MB; `None` leaves it to the engine.
+    /// Memory grant in MB; with `None` the engine decides.
     pub memory_mb: Option<f64>,
     /// Priority, 0 (lowest) to 3.
     pub priority: u8,
-    /// It changes data.
-    pub update: bool,
-    /// The statement.
+    /// Whether the statement changes data.
+    pub is_update: bool,
+    /// The statement to execute.
     pub statement: Bytes,
 }
 
-/// How an attempt ended, as its transport reports it.
+/// How an attempt ended, as reported by its transport.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// The outcome.
+    /// Whether the attempt succeeded, or how it failed.
     pub outcome: Outcome,
-    /// What the query cost, if the engine reports it.
+    /// Resources that the query used, if the engine reports them.
     pub usage: Option<ResourceUsage>,
     /// The engine's load, if it reports it.
     pub load: Option<LoadReport>,
-    /// The result, where it was served.
+    /// The result, if the attempt succeeded.
     pub rows: Option<Rows>,
 }
 
@@ -60,32 +60,32 @@
     }
 }
 
-/// What a transport reports about an attempt.
+/// A transport's report on an attempt.
 #[derive(Clone, Debug)]
 pub enum AttemptEvent {
-    /// A progress report of the engine.
+    /// The engine sent a progress report.
     Progress(ProgressReport),
     /// The attempt has ended.
     Ended(AttemptResult),
-    /// The attempt was cancelled, and the cancellation has reached the engine, or the attempt was never written, or
-    /// its connection has ended.
+    /// The cancellation has taken effect: it has reached the engine, the attempt was never written, or its connection
+    /// has ended.
     CancelConfirmed,
 }
 
-/// Sends attempts to engines over one wire format. No method waits: results reach the broker's queue as
+/// Sends attempts to engines over one wire format. No method blocks: results arrive in the broker's queue as
 /// [`BrokerEvent::Attempt`](super::BrokerEvent::Attempt).
 pub trait EngineTransport: Send {
-    /// Sets where an engine listens; `None` when it was removed.
+    /// Sets the address of an engine; `None` if it was removed.
     fn set_endpoint(&mut self, engine: EngineId, address: Option<EngineAddress>);
-    /// Starts an attempt. Returns `false` if it was not sent and never will be.
+    /// Starts an attempt. Returns `false` if the attempt was not sent and will not be sent later.
     fn start(&mut self, attempt: AttemptRequest, now: Instant) -> bool;
     /// Cancels an attempt. Returns `true` if [`AttemptEvent::CancelConfirmed`] follows.
     fn cancel(&mut self, attempt: AttemptId) -> bool;
     /// Changes an attempt's priority.
     fn set_priority(&mut self, attempt: AttemptId, priority: u8);
-    /// The attempt has ended by itself; frees its place on its connection.
+    /// Frees the connection slot of an attempt that the transport has reported as ended.
     fn release(&mut self, attempt: AttemptId);
-    /// Sets the share of the connections that this process may hold; another process has the rest.
+    /// Sets the share of the connections that this process may hold; another process of the gateway holds the rest.
     fn set_capacity_share(&mut self, share: f64);
 }
 
--- a/gateway/src/message/endpoint_mailbox.rs
+++ b/gateway/src/message/endpoint_mailbox.rs
@@ -1,5 +1,5 @@
-//! Endpoint updates on their way from the endpoint registry to the broker. The mailbox holds the latest update of each
-//! engine, so it is bounded by the number of engines and neither side waits for the other.
+//! Passes endpoint updates from the endpoint registry to the broker. The mailbox holds only the latest update of each
+//! engine, so its size is bounded by the number of engines and neither side has to wait for the other.
 
 use super::endpoint::EndpointUpdate;
 use reedwalk_scheduler::EngineId;
@@ -11,11 +11,11 @@
 #[derive(Debug, Default)]
 struct Inner {
     updates: Mutex<BTreeMap<EngineId, EndpointUpdate>>,
-    written: Notify,
+    notify: Notify,
     discovery_answered: AtomicBool,
 }
 
-/// Endpoint updates that the broker has not read yet; cheap to clone.
+/// Endpoint updates that the broker has not taken yet. Clones share the updates.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointMailbox(Arc<Inner>);
 
@@ -24,22 +24,22 @@
         self.0.updates.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds updates; one of an engine replaces the one before it.
-    pub fn write(&self, updates: impl IntoIterator<Item = EndpointUpdate>) {
+    /// Adds updates. An update of an engine replaces an earlier one that has not been taken yet.
+    pub fn put(&self, updates: impl IntoIterator<Item = EndpointUpdate>) {
         let by_engine = updates.into_iter().map(|update| (update.endpoint.entry.engine, update));
         self.updates().extend(by_engine);
-        self.0.written.notify_one();
+        self.0.notify.notify_one();
     }
 
-    /// Takes all updates written since the last call.
-    pub fn read(&self) -> Vec<EndpointUpdate> {
+    /// Removes and returns all updates that were put in since the last call.
+    pub fn take(&self) -> Vec<EndpointUpdate> {
         std::mem::take(&mut *self.updates()).into_values().collect()
     }
 
     /// Records that the name server has answered this process.
     pub fn set_discovery_answered(&self) {
         if !self.0.discovery_answered.swap(true, Ordering::AcqRel) {
-            self.0.written.notify_one();
+            self.0.notify.notify_one();
         }
     }
 
@@ -48,8 +48,8 @@
         self.0.discovery_answered.load(Ordering::Acquire)
     }
 
-    /// Returns once something has been written.
+    /// Waits until an update is put in or the name server's first answer is recorded.
     pub async fn changed(&self) {
-        self.0.written.notified().await;
+        self.0.notify.notified().await;
     }
 }
--- a/gateway/src/message/event.rs
+++ b/gateway/src/message/event.rs
@@ -1,4 +1,4 @@
-//! Events that reach the broker's queue, and what the broker reports to other gateways.
+//! Events in the broker's queue, and the broker's reports to other gateways.
 
 use super::attempt::{AttemptEvent, AttemptId};
 use super::quota::QuotaDecision;
@@ -8,111 +8,111 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// The shared store's answer to a claim of an idempotency key.
+/// The shared store's answer to the claim of an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimAnswer {
-    /// What the store found and did.
-    pub claimed: ClaimReply,
-    /// The store is known to have lost nothing, so that its answer that nothing was sent can be trusted.
+    /// Whether the key was claimed, and what the store held for it.
+    pub reply: ClaimReply,
+    /// The store is known to have lost no writes, so an answer that nothing was sent can be relied on.
     pub trusted: bool,
 }
 
-/// Everything that reaches the broker's queue.
+/// An event in the broker's queue.
 #[derive(Debug)]
 pub enum BrokerEvent {
-    /// A new request, and where its response goes.
+    /// A front has received a request.
     RequestArrived {
-        /// Its number in this process.
+        /// The request's id, unique in this process.
         id: RequestId,
-        /// The request.
+        /// The request as received from its client.
         request: Box<Request>,
-        /// Where its response goes.
+        /// The channel for its response.
         response: ResponseHandle,
     },
     /// The client of a request has disconnected.
     ClientDisconnected(RequestId),
     /// A transport reports on an attempt.
     Attempt {
-        /// Which attempt.
+        /// The attempt's id.
         id: AttemptId,
-        /// The report.
+        /// The transport's report.
         event: AttemptEvent,
     },
-    /// Whether a request's team has quota left.
+    /// The quota manager has charged a request's team, or has found its quota used up.
     QuotaDecided {
-        /// Which request.
+        /// The request that was to be charged.
         request: RequestId,
-        /// The decision.
+        /// Whether the request may be admitted.
         decision: QuotaDecision,
     },
-    /// The shared store has answered a claim, or has not in time.
+    /// The shared store has answered a claim, or the wait for its answer has timed out.
     ClaimAnswered {
-        /// Which request.
+        /// The request that claims its idempotency key.
         request: RequestId,
-        /// The answer; `None` if there was none in time.
+        /// The store's answer; `None` on timeout.
         answer: Option<ClaimAnswer>,
     },
-    /// The shared store has recorded where an attempt goes, or has not in time.
+    /// The shared store has answered whether it recorded an attempt's destination, or the wait has timed out.
     SendRecorded {
-        /// Which attempt.
+        /// The attempt that waits for the record.
         attempt: AttemptId,
-        /// What was to be recorded.
-        sent: SendRecord,
-        /// Whether it was; `None` if there was no answer in time.
+        /// The record to be stored.
+        record: SendRecord,
+        /// Whether the record was stored; `None` on timeout.
         recorded: Option<bool>,
     },
     /// Several other gateways have ejected an engine.
     EjectedByGossip {
-        /// Which engine.
+        /// The ejected engine.
         engine: EngineId,
-        /// Until when.
+        /// When the ejection ends.
         until: Instant,
     },
-    /// Several other gateways know of a restart of an engine that the endpoint list does not have yet.
+    /// Several other gateways report an engine's restart that the endpoint list does not show yet.
     EngineRestarted {
-        /// Which engine.
+        /// The restarted engine.
         engine: EngineId,
-        /// When it started.
+        /// When it started again.
         started: Time,
     },
-    /// Several other gateways observe how slow an engine is.
+    /// Several other gateways report an engine's slowdown.
     SlowdownObserved {
-        /// Which engine.
+        /// The observed engine.
         engine: EngineId,
-        /// Execution time there over that of an engine with no load.
+        /// Ratio of its execution time to that of an engine without load.
         slowdown: f64,
     },
-    /// Number of live gateways.
+    /// The number of live gateways.
     LiveGateways(f64),
 }
 
-/// What this gateway has observed of an engine in its own traffic, for other gateways.
+/// An observation of an engine in this gateway's own traffic, for other gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutlierReport {
-    /// Which engine.
+    /// The observed engine.
     pub engine: EngineId,
-    /// What was found.
+    /// What was observed.
     pub kind: OutlierKind,
-    /// Until when it is ejected here; the present, where it is not.
-    pub until: Instant,
+    /// When its ejection by this gateway ends; the time of the report if it is not ejected.
+    pub ejected_until: Instant,
 }
 
-/// What was observed of an engine.
+/// Kind of observation in an [`OutlierReport`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutlierKind {
-    /// It answers with errors, and is ejected.
+    /// The engine responds with errors and is ejected.
     Failing,
-    /// It takes requests and does not answer, and is ejected.
+    /// The engine accepts requests without responding and is ejected.
     Unresponsive,
-    /// One attempt there has failed.
+    /// One attempt on the engine has failed.
     AttemptFailed,
 }
 
-/// Channels for the reports to other gateways.
+/// Channels to the gossip task, which reports to other gateways.
 #[derive(Clone, Debug)]
 pub struct GossipHandle {
-    /// Outlier reports, each as it is made.
+    /// Outlier reports, sent immediately.
     pub outliers: mpsc::Sender<OutlierReport>,
-    /// What was observed of the engines, from time to time.
+    /// The latest observations of all engines, published periodically.
     pub observations: watch::Sender<Vec<EngineObservation>>,
 }
--- a/gateway/src/message/request.rs
+++ b/gateway/src/message/request.rs
@@ -1,4 +1,4 @@
-//! A client's request as a front passes it to the broker, and the channel for its response.
+//! A client's request as passed from a front to the broker, and the channel for its response.
 
 use super::response::Response;
 use bytes::Bytes;
@@ -9,44 +9,44 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// One request of a client. A client that retries sends a new request.
+/// One request of a client. A retry by the client is a new request.
 #[derive(Debug)]
 pub struct Request {
-    /// The client's id of this request, passed on to the engine unchanged.
+    /// The request id chosen by the client, forwarded to the engine unchanged.
     pub trace_id: Bytes,
-    /// Position of its class in the settings.
+    /// Index of the request's class in the settings.
     pub class: ClassId,
-    /// The team whose quota covers it, if known.
+    /// The team whose quota is charged, if known.
     pub team: Option<Arc<str>>,
-    /// When the client stops waiting.
+    /// When the client stops waiting for the response.
     pub deadline: Instant,
-    /// The client marks it as a retry of an earlier request.
+    /// Whether the client marks the request as a retry of an earlier one.
     pub is_retry: bool,
-    /// Idempotency key, passed on to the engine unchanged.
+    /// The client's idempotency key, forwarded to the engine unchanged.
     pub idempotency_key: Option<Bytes>,
-    /// Estimated work, as time on one core.
+    /// Estimated CPU time on one core.
     pub work: Option<Duration>,
-    /// Estimated memory in MB.
+    /// Estimated memory use in MB.
     pub memory_mb: Option<f64>,
-    /// Group of the tables that it reads or writes.
+    /// Group of the tables that the statement reads or writes.
     pub table_group: Option<u64>,
-    /// It changes data; its result is a row count where the engine returns one.
-    pub update: bool,
-    /// The statement.
+    /// Whether the statement changes data. Its result is then a row count, if the engine returns one.
+    pub is_update: bool,
+    /// The statement to execute.
     pub statement: Bytes,
 }
 
-/// The way back to the client that waits for a request.
+/// The broker's handle to the client that waits for a response.
 #[derive(Debug)]
 pub struct ResponseHandle {
-    /// Takes the one final response.
+    /// Receives the one final response.
     pub sender: oneshot::Sender<Response>,
-    /// Cancelled as soon as the client disconnects, even while the broker's queue is full.
+    /// Cancelled as soon as the client disconnects, even if the broker's queue is full.
     pub disconnected: CancellationToken,
 }
 
 impl ResponseHandle {
-    /// Sends the final response. A client that has just disconnected takes none, and none is owed to it.
+    /// Sends the final response. It is discarded if the client has just disconnected.
     pub fn send(self, response: Response) {
         let _ = self.sender.send(response);
     }
--- a/gateway/src/quotas.rs
+++ b/gateway/src/quotas.rs
@@ -170,8 +170,8 @@
     pub fn quota_request(&self, team: Option<&str>, class: ClassId) -> Result<QuotaRequest, Rejection> {
         let found = team.and_then(|team| self.by_team.get_key_value(team));
         let (team, account) = found.ok_or(Rejection::Contract)?;
-        let amount = *account.costs.get(&class).ok_or(Rejection::Contract)?;
-        Ok(QuotaRequest { team: team.clone(), amount })
+        let units = *account.costs.get(&class).ok_or(Rejection::Contract)?;
+        Ok(QuotaRequest { team: team.clone(), units })
     }
 
     /// Charges a request: from units that are leased here or, where the shared store is slow or gone, from this
@@ -186,7 +186,7 @@
         loop {
             let now = Instant::now();
             let window = account.window();
-            let spent = account.lease().charge(request.amount, usable && now < deadline, now.into_std());
+            let spent = account.lease().charge(request.units, usable && now < deadline, now.into_std());
             match spent {
                 SpendResult::Granted => {
                     self.lease_ahead(request, account);
@@ -197,7 +197,7 @@
                 }
                 SpendResult::Denied => return QuotaDecision::Exhausted(window.left),
                 SpendResult::Lease(wanted) => {
-                    usable = self.lease(&request.team, account, request.amount, wanted, deadline).await;
+                    usable = self.lease(&request.team, account, request.units, wanted, deadline).await;
                 }
             }
         }
@@ -250,7 +250,7 @@
     /// Gives back what was charged for a request that never ran.
     pub fn refund(&self, charge: &Charge) {
         if let Some(account) = self.by_team.get(&charge.request.team) {
-            account.lease().refund(charge.window, charge.request.amount);
+            account.lease().refund(charge.window, charge.request.units);
         }
     }
 
--- a/gateway/src/registry/mod.rs
+++ b/gateway/src/registry/mod.rs
@@ -176,7 +176,7 @@
             updates.push(EndpointUpdate { endpoint: Endpoint { entry, ..endpoint }, drain_guard });
         }
         self.metrics.set_members(inner.list.listed().count());
-        self.endpoints.write(updates);
+        self.endpoints.put(updates);
         count
     }
 
--- a/gateway/src/shared_store/client.rs
+++ b/gateway/src/shared_store/client.rs
@@ -166,7 +166,7 @@
         }
         drop(state);
         let lease_left = Duration::from_millis(lease_left_ms.max(0) as u64);
-        Some(ClaimAnswer { claimed: ClaimReply { is_claimed, lease_left, stored }, trusted })
+        Some(ClaimAnswer { reply: ClaimReply { is_claimed, lease_left, stored }, trusted })
     }
 
     /// Checks this process's own heartbeat as the store has it. Returns whether the store is fresh, so that its answer that
--- a/gateway/tests/broker.rs
+++ b/gateway/tests/broker.rs
@@ -90,7 +90,7 @@
         work: Some(Duration::from_millis(200)),
         memory_mb: None,
         table_group: None,
-        update: class == 2,
+        is_update: class == 2,
         statement: Bytes::from_static(b"SELECT 1"),
     }
 }
@@ -144,7 +144,7 @@
 fn list_engines(endpoints: &EndpointMailbox) {
     let endpoint = |n| Endpoint { entry: EngineEntry::new(EngineId(n)), address: ([127, 0, 0, 1], 1).into() };
     let update = |n| EndpointUpdate { endpoint: endpoint(n), drain_guard: DrainGuard::default() };
-    endpoints.write((1..=3).map(update));
+    endpoints.put((1..=3).map(update));
 }
 
 /// Runs requests, each with a class, an arrival and a timeout in milliseconds, and checks answers and attempts.
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -169,7 +169,7 @@
     loop {
         timeout_at(deadline, endpoints.changed()).await.expect("no change");
         // Changes that were read already may have been announced a second time.
-        let changes = endpoints.read();
+        let changes = endpoints.take();
         if !changes.is_empty() {
             return changes.into_iter().map(|update| update.endpoint).collect();
         }
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -187,7 +187,7 @@
         idempotency_key: key.map(|key| Bytes::from_static(key.as_bytes())),
         memory_mb,
         priority: 2,
-        update: false,
+        is_update: false,
         statement: Bytes::from_static(b"SELECT 1"),
     };
     let words = |attempt| {
--- a/gateway/tests/registry.rs
+++ b/gateway/tests/registry.rs
@@ -89,7 +89,7 @@
     }
 
     fn read(&mut self) {
-        let updates = self.endpoints.read().into_iter();
+        let updates = self.endpoints.take().into_iter();
         self.known.extend(updates.map(|update| (update.endpoint.entry.engine.0, update)));
     }
 }
