--- a/gateway/src/engine/flight/call.rs
+++ b/gateway/src/engine/flight/call.rs
@@ -93,7 +93,7 @@
     /// Makes the calls and reports the result to the broker.
     pub async fn run(mut self, events: mpsc::Sender<BrokerEvent>) {
         let id = self.attempt.id;
-        let response = if self.attempt.update { self.update().await } else { self.query().await };
+        let response = if self.attempt.is_update { self.update().await } else { self.query().await };
         let result = attempt_result(response);
         self.was_sent &= result.outcome != Outcome::ConnectFailed;
         let _ = events.send(BrokerEvent::Attempt { id, event: AttemptEvent::Ended(result) }).await;
--- a/gateway/src/engine/pool/tests.rs
+++ b/gateway/src/engine/pool/tests.rs
@@ -25,7 +25,7 @@
         idempotency_key: None,
         memory_mb: None,
         priority: 1,
-        update: false,
+        is_update: false,
         statement: Bytes::new(),
     }
 }
--- a/gateway/src/engine/resp/tests.rs
+++ b/gateway/src/engine/resp/tests.rs
@@ -34,7 +34,7 @@
         idempotency_key: None,
         memory_mb: None,
         priority: 1,
-        update: false,
+        is_update: false,
         statement: Bytes::from(vec![b'x'; size]),
     }
 }
