--- a/fault-injection/src/gossip_network.rs
+++ b/fault-injection/src/gossip_network.rs
@@ -72,7 +72,7 @@
     fn count_sent(&mut self, sender: usize, bytes: &[u8]) {
         // A datagram that can't be opened counts at the time of its sender's last one.
         let last_sent_at_us = self.sent[sender].last().map_or(0, |sent| sent.sent_at_us);
-        let sent_at_us = self.keys.open(bytes).map_or(last_sent_at_us, |datagram| datagram.sent);
+        let sent_at_us = self.keys.decode(bytes).map_or(last_sent_at_us, |datagram| datagram.sent);
         let size_bytes = bytes.len();
         self.sent[sender].push(SentDatagram { arrived_at: Instant::now(), sent_at_us, size_bytes });
         self.largest_datagram_bytes = self.largest_datagram_bytes.max(size_bytes);
--- a/fault-injection/src/rogue_gateway.rs
+++ b/fault-injection/src/rogue_gateway.rs
@@ -93,7 +93,7 @@
             let reports = engines.iter().map(|engine| report(engine, LONG_AGO, FactKind::Failing, 0));
             let facts = reports.collect();
             let datagram = self.datagram(facts);
-            self.last_datagram = self.keys.seal(&datagram);
+            self.last_datagram = self.keys.encode(&datagram);
             self.send_to_all(&self.last_datagram);
         }
     }
@@ -108,7 +108,7 @@
                 [slow, restarted]
             };
             let datagram = self.datagram(engines.iter().flat_map(reports).collect());
-            self.send_to_all(&self.keys.seal(&datagram));
+            self.send_to_all(&self.keys.encode(&datagram));
         }
     }
 
--- a/gateway/src/gossip/task.rs
+++ b/gateway/src/gossip/task.rs
@@ -8,8 +8,8 @@
 use crate::registry::EndpointRegistry;
 use crate::unix_clock::unix_ms;
 use reedwalk_gossip::{
-    EngineKey, FactKind, GossipAction, GossipEjection, GossipNode, MAX_DATAGRAM_BYTES, Millis, NodeSetup,
-    OwnObservation, PeerId, SharedObservation,
+    AgreedObservation, EngineKey, FactKind, GossipAction, GossipEjection, GossipNode, MAX_DATAGRAM_BYTES,
+    Millis, NodeConfig, OwnObservation, PeerId,
 };
 use reedwalk_scheduler::{EngineId, EngineObservation, Time};
 use slog::{Logger, debug, error, info, warn};
@@ -79,12 +79,12 @@
     pub fn new(group: GossipGroup, context: GossipContext, log: Logger) -> Self {
         let started_ms = unix_ms();
         let count = group.addresses.len();
-        let setup = NodeSetup {
-            me: group.me,
-            count,
+        let config = NodeConfig {
+            local_id: group.me,
+            gateway_count: count,
             max_bytes_per_second: group.max_bytes_per_second,
-            keys: group.keys.clone(),
-            heartbeats: group.heartbeats,
+            signing_keys: group.keys.clone(),
+            heartbeats_enabled: group.heartbeats,
             seed: context.seed,
         };
         let peers = group.addresses.iter().enumerate();
@@ -92,7 +92,7 @@
         Self {
             group,
             context,
-            node: GossipNode::new(setup, started_ms),
+            node: GossipNode::new(config, started_ms),
             started_ms,
             started_at: Instant::now(),
             peer_by_address,
@@ -128,7 +128,7 @@
                 self.update_metrics();
             }
             let node_due =
-                self.node.next_due().min(self.now_ms() + ENDPOINT_CHECK_INTERVAL.as_millis() as Millis);
+                self.node.next_tick_at().min(self.now_ms() + ENDPOINT_CHECK_INTERVAL.as_millis() as Millis);
             let due = self.instant(node_due).min(next_check);
             tokio::select! {
                 readable = socket.readable() => if readable.is_ok() { self.read(&socket, &mut buffer) },
@@ -143,7 +143,7 @@
                 () = wait_for_shutdown(&mut self.context.closing) => return,
                 () = sleep_until(due) => {}
             }
-            self.node.act(self.now_ms(), &mut actions);
+            self.node.tick(self.now_ms(), &mut actions);
             for action in actions.drain(..) {
                 self.apply_action(action, &socket);
             }
@@ -195,7 +195,7 @@
         let Some((&key, _)) = found else { return };
         let kind = match report.kind {
             OutlierKind::Failing => FactKind::Failing,
-            OutlierKind::Unresponsive => FactKind::Silent,
+            OutlierKind::Unresponsive => FactKind::Unresponsive,
             OutlierKind::AttemptFailed => FactKind::AttemptFailed,
         };
         let lasts = report.until.saturating_duration_since(Instant::now());
@@ -236,7 +236,7 @@
     /// Reads the keys again; where one can't be used, the old ones stay.
     fn reload_keys(&mut self) {
         match read_keys(&self.group.key_files) {
-            Ok(keys) => self.node.set_keys(keys),
+            Ok(keys) => self.node.set_signing_keys(keys),
             Err(error) => {
                 error!(self.log, "new gossip keys rejected, old keys stay in use"; "error" => %error)
             }
@@ -251,9 +251,9 @@
                     let _ = socket.try_send_to(&bytes, *address);
                 }
             }
-            GossipAction::Ejected(ejection) => self.on_ejection(ejection),
-            GossipAction::Observed(observation) => self.on_observation(observation),
-            GossipAction::LiveGateways(count) => self.unsent_live_gateways = Some(count),
+            GossipAction::Eject(ejection) => self.on_ejection(ejection),
+            GossipAction::ApplyObservation(observation) => self.on_observation(observation),
+            GossipAction::SetLiveGateways(count) => self.unsent_live_gateways = Some(count),
         }
         if let Some(count) = self.unsent_live_gateways
             && self.context.events.try_send(BrokerEvent::LiveGateways(count)).is_ok()
@@ -271,17 +271,17 @@
         let _ = self.context.events.try_send(BrokerEvent::EjectedByGossip { engine, until });
     }
 
-    fn on_observation(&mut self, observation: SharedObservation) {
-        let (SharedObservation::Restarted(key, _) | SharedObservation::Slow(key, _)) = observation;
+    fn on_observation(&mut self, observation: AgreedObservation) {
+        let (AgreedObservation::Restarted(key, _) | AgreedObservation::Slow(key, _)) = observation;
         let Some(&engine) = self.engine_by_key.get(&key) else { return };
         let event = match observation {
-            SharedObservation::Restarted(_, second) => {
+            AgreedObservation::Restarted(_, second) => {
                 info!(self.log, "engine restart reported by gossip"; "engine" => engine.0,
                     "started_unix_s" => second);
                 let started = Time(u64::from(second) * 1_000_000);
                 BrokerEvent::EngineRestarted { engine, started }
             }
-            SharedObservation::Slow(_, slowdown) => BrokerEvent::SlowdownObserved { engine, slowdown },
+            AgreedObservation::Slow(_, slowdown) => BrokerEvent::SlowdownObserved { engine, slowdown },
         };
         // If the broker's queue is full the event is lost; gateways that still observe it will report it again.
         let _ = self.context.events.try_send(event);
@@ -312,7 +312,7 @@
             Metric::counter("kept_back", counters.suppressed_reports),
             Metric::counter("believed", counters.ejections),
             Metric::gauge("engines_aside", self.node.ejected_count(now) as u64),
-            Metric::counter("views", counters.shared_observations),
+            Metric::counter("views", counters.agreed_observations),
             Metric::gauge("threads_told", threads.round() as u64),
         ]);
     }
--- a/gossip/examples/membership.rs
+++ b/gossip/examples/membership.rs
@@ -1,5 +1,6 @@
-//! Compares the heartbeats of this crate with SWIM (the crate `foca`) in virtual time, by cost and accuracy: bytes a
-//! second of each gateway, time until half and all have detected a dead one, live gateways taken for dead.
+//! Compares the heartbeats of this crate with SWIM (the crate `foca`) in virtual time, by cost and accuracy: bytes
+//! per second of each gateway, time until half of the gateways and all of them have detected a dead one, and live
+//! gateways declared dead.
 //! `cargo run --release -p reedwalk-gossip --example membership`
 
 use foca::{
@@ -8,41 +9,41 @@
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use reedwalk_gossip::{GossipAction, GossipNode, NodeSetup, SigningKeys};
+use reedwalk_gossip::{GossipAction, GossipNode, NodeConfig, SigningKeys};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 use std::num::{NonZeroU32, NonZeroUsize};
 
-/// Datagrams take from 1 ms to this.
+/// Maximum delay of a datagram; the minimum is 1 ms.
 const MAX_DELAY_MS: u64 = 20;
-/// Time in which all gateways are alive, for the bytes sent and the false alarms.
+/// Phase in which all gateways are alive, for measuring the bytes sent and the false alarms.
 const ALL_LIVE_MS: u64 = 60_000;
-/// The time after it in which a dead gateway has to be detected.
+/// Time limit for detecting the dead gateway in the phase after it.
 const DETECTION_TIMEOUT_MS: u64 = 60_000;
-/// Virtual time passes in steps of this.
+/// Step of the virtual time.
 const STEP_MS: u64 = 5;
-/// How often false alarms are counted.
+/// Interval between checks for false alarms.
 const FALSE_ALARM_CHECK_INTERVAL_MS: u64 = 500;
-/// How often is checked how many have detected the dead gateway.
+/// Interval between checks of how many gateways have detected the dead one.
 const DETECTION_CHECK_INTERVAL_MS: u64 = 50;
-/// The gateway that dies.
+/// The gateway that is killed.
 const KILLED: usize = 1;
-/// The time of the first call, in milliseconds of the Unix clock.
+/// Time of the first call, in milliseconds of Unix time.
 const START_MS: u64 = 1_700_000_000_000;
 
-/// A datagram to a gateway.
+/// A datagram to be sent to gateway `to`.
 struct Outgoing {
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// A membership protocol at all gateways of a fleet; times count from the start.
+/// A membership protocol, run for all gateways of a fleet; times are since the start.
 trait MembershipProtocol {
-    /// Runs what is due at one gateway; returns what that sends.
+    /// Runs what is due at one gateway; returns the datagrams it sends.
     fn advance(&mut self, gateway: usize, now_ms: u64) -> Vec<Outgoing>;
-    /// A gateway receives a datagram; returns what it sends.
+    /// Delivers a datagram to a gateway; returns the datagrams it sends in reply.
     fn receive(&mut self, gateway: usize, from: usize, bytes: &[u8], now_ms: u64) -> Vec<Outgoing>;
-    /// Whether one gateway takes another for alive.
+    /// Whether `observer` considers `gateway` alive.
     fn is_live(&self, observer: usize, gateway: usize, now_ms: u64) -> bool;
 }
 
@@ -51,15 +52,15 @@
 
 impl Heartbeats {
     fn new(count: usize) -> Self {
-        let setup = |me| NodeSetup {
-            me,
-            count,
+        let config = |id| NodeConfig {
+            local_id: id,
+            gateway_count: count,
             max_bytes_per_second: 8192,
-            keys: SigningKeys::default(),
-            heartbeats: true,
-            seed: u64::from(me),
+            signing_keys: SigningKeys::default(),
+            heartbeats_enabled: true,
+            seed: u64::from(id),
         };
-        Self((0..count as u16).map(|me| GossipNode::new(setup(me), START_MS)).collect())
+        Self((0..count as u16).map(|id| GossipNode::new(config(id), START_MS)).collect())
     }
 }
 
@@ -67,8 +68,8 @@
     fn advance(&mut self, gateway: usize, now_ms: u64) -> Vec<Outgoing> {
         let node = &mut self.0[gateway];
         let mut actions = Vec::new();
-        if now_ms >= node.next_due() - START_MS {
-            node.act(START_MS + now_ms, &mut actions);
+        if now_ms >= node.next_tick_at() - START_MS {
+            node.tick(START_MS + now_ms, &mut actions);
         }
         let outgoing = |action| match action {
             GossipAction::Send(to, bytes) => Some(Outgoing { to: usize::from(to), bytes }),
@@ -87,7 +88,7 @@
     }
 }
 
-/// The identity of a SWIM member.
+/// Identity of a SWIM member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct MemberId {
     number: u16,
@@ -112,13 +113,13 @@
 
 type SwimMember = Foca<MemberId, PostcardCodec, StdRng, NoCustomBroadcast>;
 
-/// SWIM, as `foca` implements it.
+/// SWIM, as implemented by `foca`.
 struct Swim {
     members: Vec<SwimMember>,
-    /// The timers of each member, by time and number.
+    /// Timers of each member, by due time and sequence number.
     timers: Vec<BTreeMap<(u64, u64), Timer<MemberId>>>,
     last_timer: u64,
-    /// Whether an observer, the first, takes a member, the second, for dead.
+    /// Whether a member is dead, by observer and member.
     is_down: HashMap<(usize, usize), bool>,
 }
 
@@ -128,25 +129,25 @@
         config.max_packet_size = NonZeroUsize::new(236).unwrap();
         let id = |number| MemberId { number, incarnation: 0 };
         let member = |number| {
-            let random = StdRng::seed_from_u64(u64::from(number));
-            Foca::new(id(number), config.clone(), random, PostcardCodec)
+            let rng = StdRng::seed_from_u64(u64::from(number));
+            Foca::new(id(number), config.clone(), rng, PostcardCodec)
         };
         let members = (0..count as u16).map(member).collect();
         let timers = vec![BTreeMap::new(); count];
         let mut swim = Self { members, timers, last_timer: 0, is_down: HashMap::new() };
         for gateway in 0..count {
             let mut runtime = AccumulatingRuntime::new();
-            // All members are known from the deployment, as they are to the heartbeats.
+            // All members are configured in advance, as they are for the heartbeats.
             let others = (0..count as u16).filter(|number| *number != gateway as u16);
             let others = others.map(|number| Member::alive(id(number)));
             swim.members[gateway].apply_many(others, false, &mut runtime).unwrap();
-            swim.carry_out(gateway, runtime, 0);
+            swim.apply_runtime(gateway, runtime, 0);
         }
         swim
     }
 
-    /// Sets the timers and notes the notifications of a call; returns what it sends.
-    fn carry_out(
+    /// Schedules the timers and records the notifications of a call; returns the datagrams it sends.
+    fn apply_runtime(
         &mut self,
         gateway: usize,
         mut runtime: AccumulatingRuntime<MemberId>,
@@ -177,7 +178,7 @@
             let timer = first.remove();
             let mut runtime = AccumulatingRuntime::new();
             let _ = self.members[gateway].handle_timer(timer, &mut runtime);
-            outgoing.extend(self.carry_out(gateway, runtime, now_ms));
+            outgoing.extend(self.apply_runtime(gateway, runtime, now_ms));
         }
         outgoing
     }
@@ -185,7 +186,7 @@
     fn receive(&mut self, gateway: usize, _from: usize, bytes: &[u8], now_ms: u64) -> Vec<Outgoing> {
         let mut runtime = AccumulatingRuntime::new();
         let _ = self.members[gateway].handle_data(bytes, &mut runtime);
-        self.carry_out(gateway, runtime, now_ms)
+        self.apply_runtime(gateway, runtime, now_ms)
     }
 
     fn is_live(&self, observer: usize, gateway: usize, _now_ms: u64) -> bool {
@@ -193,28 +194,28 @@
     }
 }
 
-/// A datagram on its way.
+/// A datagram in flight.
 struct Delivery {
     from: usize,
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// A fleet: first all gateways are alive, then one is dead.
+/// Simulation of a fleet: first all gateways are alive, then one of them is killed.
 struct Simulation<P> {
     protocol: P,
     count: usize,
     loss: f64,
-    random: StdRng,
-    /// Datagrams by the time of their delivery and their number.
+    rng: StdRng,
+    /// Datagrams by delivery time and sequence number.
     in_flight: BTreeMap<(u64, u64), Delivery>,
-    datagrams: u64,
-    /// Bytes sent while all are alive.
+    last_sequence: u64,
+    /// Bytes sent while all gateways are alive.
     bytes: usize,
-    /// Whether an observer took a gateway for alive at the last check; by pairs.
+    /// Whether an observer considered a gateway alive at the last check, for each pair.
     was_live: Vec<bool>,
     false_alarms: usize,
-    /// Seconds until half of the others, and all, have detected the dead gateway.
+    /// Seconds until half of the other gateways, and all of them, have detected the killed one.
     half_detected: Option<f64>,
     all_detected: Option<f64>,
 }
@@ -225,9 +226,9 @@
             protocol,
             count,
             loss,
-            random: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
             in_flight: BTreeMap::new(),
-            datagrams: 0,
+            last_sequence: 0,
             bytes: 0,
             was_live: vec![true; count * count],
             false_alarms: 0,
@@ -257,7 +258,7 @@
         }
     }
 
-    /// Delivers what is due; returns what the receivers send.
+    /// Delivers the datagrams that are due; returns those that the receivers send.
     fn deliver(&mut self, now_ms: u64) -> Vec<Delivery> {
         let mut sent = Vec::new();
         while let Some(first) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= now_ms) {
@@ -274,10 +275,10 @@
         if now_ms < ALL_LIVE_MS {
             self.bytes += delivery.bytes.len();
         }
-        if self.random.random::<f64>() >= self.loss {
-            self.datagrams += 1;
-            let at_ms = now_ms + self.random.random_range(1..=MAX_DELAY_MS);
-            self.in_flight.insert((at_ms, self.datagrams), delivery);
+        if self.rng.random::<f64>() >= self.loss {
+            self.last_sequence += 1;
+            let at_ms = now_ms + self.rng.random_range(1..=MAX_DELAY_MS);
+            self.in_flight.insert((at_ms, self.last_sequence), delivery);
         }
     }
 
--- a/gossip/src/codec.rs
+++ b/gossip/src/codec.rs
@@ -1,4 +1,4 @@
-//! The datagrams between gateways: at most 256 bytes, versioned, with a checksum or, where there are keys, a signature.
+//! Datagram format: at most 256 bytes, versioned, with a signature, or a checksum if there are no keys.
 
 use crate::{EngineKey, Millis, PeerId};
 use hmac::{Hmac, Mac};
@@ -6,49 +6,47 @@
 use sha2::Sha256;
 use std::fmt;
 
-/// Size of a datagram at most, in bytes: it fits into a packet on any network.
+/// Maximum size of a datagram; it fits into one packet on any network.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// First byte of every datagram; another one is rejected.
+/// First byte of every datagram; datagrams with another one are rejected.
 const VERSION: u8 = 0x72;
-/// Size of the version in bytes.
 const VERSION_BYTES: usize = 1;
-/// Size of a signature in bytes: half of an HMAC-SHA256, as RFC 2104 allows.
+/// Size of a signature: half of an HMAC-SHA256, as RFC 2104 allows.
 const SIGNATURE_BYTES: usize = 16;
-/// Size of a CRC-32 in bytes.
+/// Size of a CRC-32.
 const CHECKSUM_BYTES: usize = 4;
-/// Size of a key at least, in bytes: that of the hash, as RFC 2104 recommends.
+/// Minimum key size: the output size of the hash, as RFC 2104 recommends.
 const MIN_KEY_BYTES: usize = 32;
-/// Milliseconds in a hundredth of a second.
-const MILLIS_PER_CENTI: Millis = 10;
-/// Times of heartbeats are sent in steps of this many microseconds, so that an age fits into a byte.
+const MS_PER_CENTISECOND: Millis = 10;
+/// Resolution of heartbeat times, so that an age fits into a byte.
 const HEARTBEAT_STEP_US: u64 = 100_000;
 
-/// What a datagram reports of an engine.
+/// Kind of a [`Fact`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FactKind {
-    /// It answers with errors, breaks connections or takes none.
+    /// The engine responds with errors, or closes or refuses connections.
     Failing,
-    /// It accepts work and sends no response.
-    Silent,
-    /// One attempt there has just failed; the request may be at fault.
+    /// The engine accepts work and sends no response.
+    Unresponsive,
+    /// One attempt at the engine has just failed; the request may be the cause.
     AttemptFailed,
-    /// It has restarted, at the second of [`Fact::started`].
+    /// The engine has restarted, at [`Fact::started`].
     Restarted,
-    /// Queries are slow there: the value is their latency in sixteenths of that of an idle engine.
+    /// The engine is slow: the value is the query latency in sixteenths of that of an idle engine.
     Slow,
-    /// Threads that the sender uses there, in sixteenths.
+    /// Threads that the sender uses at the engine, in sixteenths.
     ThreadUse,
     /// A kind that this version does not know, which is ignored.
-    Other(u8),
+    Unknown(u8),
 }
 
 impl FactKind {
-    /// How much it counts towards an ejection ([`crate::MIN_REPORTERS`]).
+    /// Weight of a report of this kind towards an ejection (see [`crate::MIN_EJECTION_WEIGHT`]).
     pub(crate) fn weight(self) -> f64 {
         match self {
-            Self::Failing | Self::Silent => 1.0,
+            Self::Failing | Self::Unresponsive => 1.0,
             Self::AttemptFailed => 0.5,
-            Self::Restarted | Self::Slow | Self::ThreadUse | Self::Other(_) => 0.0,
+            Self::Restarted | Self::Slow | Self::ThreadUse | Self::Unknown(_) => 0.0,
         }
     }
 }
@@ -57,12 +55,12 @@
     fn from(number: u8) -> Self {
         match number {
             0 => Self::Failing,
-            1 => Self::Silent,
+            1 => Self::Unresponsive,
             2 => Self::AttemptFailed,
             3 => Self::Restarted,
             4 => Self::Slow,
             5 => Self::ThreadUse,
-            other => Self::Other(other),
+            unknown => Self::Unknown(unknown),
         }
     }
 }
@@ -71,106 +69,106 @@
     fn from(kind: FactKind) -> Self {
         match kind {
             FactKind::Failing => 0,
-            FactKind::Silent => 1,
+            FactKind::Unresponsive => 1,
             FactKind::AttemptFailed => 2,
             FactKind::Restarted => 3,
             FactKind::Slow => 4,
             FactKind::ThreadUse => 5,
-            FactKind::Other(number) => number,
+            FactKind::Unknown(number) => number,
         }
     }
 }
 
-/// One thing that the sender has found of an engine itself.
+/// A finding of the sender itself about one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fact {
     /// The engine.
     pub engine: EngineKey,
-    /// Second of the engine's start, which tells its incarnations apart; 0 for long ago.
+    /// Start time of the engine in Unix seconds, which identifies its incarnation; 0 for long ago.
     pub started: u32,
-    /// The kind; see [`FactKind`].
+    /// The encoded [`FactKind`].
     pub kind: u8,
-    /// How long it holds from when it was sent, in hundredths of a second.
+    /// Time to live from the datagram's send time, in hundredths of a second.
     pub ttl_centis: u16,
-    /// A value, for kinds that have one; else 0.
+    /// Value, for kinds that have one; otherwise 0.
     pub value: u8,
 }
 
 impl Fact {
-    /// How long it holds, in milliseconds.
+    /// Time to live, in milliseconds.
     pub(crate) fn ttl(&self) -> Millis {
-        Millis::from(self.ttl_centis) * MILLIS_PER_CENTI
+        Millis::from(self.ttl_centis) * MS_PER_CENTISECOND
     }
 
-    /// A time in milliseconds as [`Fact::ttl_centis`], at most the longest that can be encoded.
+    /// Converts milliseconds to [`Fact::ttl_centis`], saturating at the largest encodable value.
     pub(crate) fn to_ttl_centis(ttl: Millis) -> u16 {
-        (ttl / MILLIS_PER_CENTI).min(u64::from(u16::MAX)) as u16
+        (ttl / MS_PER_CENTISECOND).min(u64::from(u16::MAX)) as u16
     }
 }
 
-/// The latest time of its own clock at which a gateway is known to have been alive.
+/// The latest time, by its own clock, at which a gateway is known to have been alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Distance of its number from the one before it, or from [`Datagram::from`]; numbers wrap around.
+    /// Distance of the gateway's id from the previous one in the list, or from [`Datagram::from`]; ids wrap around.
     pub skip: u8,
-    /// Tenths of a second before the datagram's own time.
+    /// Age at [`Datagram::sent`], in tenths of a second.
     pub age: u8,
 }
 
-/// What one gateway sends to another.
+/// A datagram from one gateway to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
     /// The sender.
     pub from: PeerId,
-    /// When the sender started, in milliseconds, which tells its incarnations apart.
+    /// Start time of the sender in milliseconds, which identifies its incarnation.
     pub incarnation: Millis,
-    /// When it was sent, in microseconds; each datagram of an incarnation is later than the one before.
+    /// Send time in microseconds; strictly increasing within an incarnation.
     pub sent: u64,
-    /// What the sender has found itself.
+    /// Findings of the sender itself.
     pub facts: Vec<Fact>,
-    /// The live gateways, as far as the sender knows.
+    /// Heartbeats of the gateways that the sender considers alive.
     pub heartbeats: Vec<Heartbeat>,
 }
 
 impl Datagram {
-    /// The gateways of the heartbeats and their times in tenths of a second, in a fleet of `count`.
-    pub(crate) fn heartbeat_times(&self, count: usize) -> impl Iterator<Item = (PeerId, u64)> {
+    /// Decodes the heartbeats into gateways and times in tenths of a second, in a fleet of `gateway_count`.
+    pub(crate) fn heartbeat_times(&self, gateway_count: usize) -> impl Iterator<Item = (PeerId, u64)> {
         let sent = self.sent / HEARTBEAT_STEP_US;
-        let read = move |peer: &mut usize, heartbeat: &Heartbeat| {
-            *peer = (*peer + usize::from(heartbeat.skip)) % count.max(1);
+        let decode = move |peer: &mut usize, heartbeat: &Heartbeat| {
+            *peer = (*peer + usize::from(heartbeat.skip)) % gateway_count.max(1);
             Some((*peer as PeerId, sent.saturating_sub(u64::from(heartbeat.age))))
         };
-        self.heartbeats.iter().scan(usize::from(self.from), read)
+        self.heartbeats.iter().scan(usize::from(self.from), decode)
     }
 
-    /// The heartbeat of this time, in tenths of a second; `None` where that is too long ago to be encoded.
+    /// Encodes a heartbeat time, in tenths of a second; `None` if the gateway's distance or the age does not fit.
     pub(crate) fn heartbeat(&self, skip: usize, at: u64) -> Option<Heartbeat> {
         let age = (self.sent / HEARTBEAT_STEP_US).saturating_sub(at);
         Some(Heartbeat { skip: skip.try_into().ok()?, age: age.try_into().ok()? })
     }
 
-    /// A time in milliseconds, in tenths of a second.
+    /// Converts milliseconds to heartbeat time, in tenths of a second.
     pub(crate) fn heartbeat_time(at: Millis) -> u64 {
         at * 1000 / HEARTBEAT_STEP_US
     }
 }
 
-/// A key is too short.
+/// Error: a signing key is too short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyTooShort {
-    /// Its length in bytes.
+    /// Length of the key in bytes.
     pub bytes: usize,
 }
 
 impl fmt::Display for KeyTooShort {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a key needs at least {MIN_KEY_BYTES} bytes, this one has {}", self.bytes)
+        write!(f, "a signing key needs at least {MIN_KEY_BYTES} bytes, but this one has {}", self.bytes)
     }
 }
 
 impl std::error::Error for KeyTooShort {}
 
-/// A key that all gateways of a fleet share.
+/// A signing key, shared by all gateways of a fleet.
 #[derive(Clone)]
 pub struct SigningKey(Hmac<Sha256>);
 
@@ -181,54 +179,54 @@
 }
 
 impl SigningKey {
-    /// A key of these bytes.
+    /// Creates a key from its bytes.
     ///
     /// # Errors
-    /// Where there are too few.
+    /// Returns an error if there are fewer bytes than the minimum key size.
     pub fn new(bytes: &[u8]) -> Result<Self, KeyTooShort> {
-        let short = KeyTooShort { bytes: bytes.len() };
+        let error = KeyTooShort { bytes: bytes.len() };
         if bytes.len() < MIN_KEY_BYTES {
-            return Err(short);
+            return Err(error);
         }
-        Hmac::new_from_slice(bytes).map(Self).map_err(|_| short)
+        Hmac::new_from_slice(bytes).map(Self).map_err(|_| error)
     }
 
-    fn mac_of(&self, bytes: &[u8]) -> Hmac<Sha256> {
+    fn mac(&self, bytes: &[u8]) -> Hmac<Sha256> {
         self.0.clone().chain_update(bytes)
     }
 }
 
-/// The first key signs, and any of them is accepted, so that keys can be changed one gateway after the other. With none,
-/// datagrams have a checksum only.
+/// Signing keys. The first key signs and any of them verifies, so that keys can be rotated one gateway at a time. If
+/// empty, datagrams only have a checksum.
 #[derive(Clone, Debug, Default)]
 pub struct SigningKeys(pub Vec<SigningKey>);
 
-/// Why a datagram was not accepted.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramError {
-    /// It does not come from the address of a gateway, or from another one's than it names as its sender.
+    /// It was not sent from the address of a gateway, or the sender it names has another address.
     UnknownSender,
-    /// Its sender has sent too many.
+    /// Its sender exceeded the rate limit.
     RateLimited,
-    /// None of the keys has signed it.
+    /// None of the keys verifies its signature.
     BadSignature,
-    /// It can't be read, or is of an unknown version.
+    /// It can't be decoded, or has an unknown version.
     Malformed,
-    /// It is too old, no later than one that was accepted, or of an earlier incarnation of its sender.
+    /// It is too old, not later than the last accepted one, or from an earlier incarnation of its sender.
     Stale,
-    /// It was sent in the future, by the local clock.
+    /// Its send time is in the future, by the local clock.
     Future,
 }
 
 impl fmt::Display for DatagramError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::UnknownSender => "from an unknown sender",
-            Self::RateLimited => "its sender sends too many datagrams",
-            Self::BadSignature => "signed by none of the keys",
+            Self::UnknownSender => "not sent by a known gateway",
+            Self::RateLimited => "its sender exceeded the rate limit",
+            Self::BadSignature => "signature matches none of the keys",
             Self::Malformed => "malformed, or of an unknown version",
-            Self::Stale => "too old, repeated, or of an earlier incarnation of its sender",
-            Self::Future => "sent in the future by the local clock",
+            Self::Stale => "too old, repeated, or from an earlier incarnation of its sender",
+            Self::Future => "send time is in the future by the local clock",
         })
     }
 }
@@ -240,19 +238,19 @@
         if self.0.is_empty() { CHECKSUM_BYTES } else { SIGNATURE_BYTES }
     }
 
-    /// Bytes that a datagram's content may have.
+    /// Maximum size of the encoded content of a datagram, without version and signature or checksum.
     pub fn max_content_bytes(&self) -> usize {
         MAX_DATAGRAM_BYTES - VERSION_BYTES - self.trailer_bytes()
     }
 
-    /// Encodes and signs a datagram.
-    pub fn seal(&self, datagram: &Datagram) -> Vec<u8> {
+    /// Encodes a datagram and signs it, or adds a checksum if there are no keys.
+    pub fn encode(&self, datagram: &Datagram) -> Vec<u8> {
         let mut bytes = vec![VERSION];
         // Serializing plain data to the heap does not fail.
         bytes.extend(postcard::to_allocvec(datagram).unwrap_or_default());
         match self.0.first() {
             Some(key) => {
-                let tag = key.mac_of(&bytes).finalize().into_bytes();
+                let tag = key.mac(&bytes).finalize().into_bytes();
                 bytes.extend_from_slice(&tag[..SIGNATURE_BYTES]);
             }
             None => bytes.extend_from_slice(&crc32fast::hash(&bytes).to_le_bytes()),
@@ -260,11 +258,11 @@
         bytes
     }
 
-    /// Checks and decodes a datagram.
+    /// Verifies and decodes a datagram.
     ///
     /// # Errors
-    /// Where its signature or checksum is wrong, or it can't be read.
-    pub fn open(&self, bytes: &[u8]) -> Result<Datagram, DatagramError> {
+    /// Returns an error if the signature or checksum is wrong, or the datagram can't be decoded.
+    pub fn decode(&self, bytes: &[u8]) -> Result<Datagram, DatagramError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::Malformed);
         }
@@ -278,14 +276,14 @@
         }
     }
 
-    /// Checks the signature, or the checksum where there are no keys.
+    /// Verifies the signature, or the checksum if there are no keys.
     fn verify(&self, content: &[u8], trailer: &[u8]) -> Result<(), DatagramError> {
         if self.0.is_empty() {
             let checksum = crc32fast::hash(content).to_le_bytes();
             return if checksum == trailer { Ok(()) } else { Err(DatagramError::Malformed) };
         }
-        // Compared in constant time.
-        let is_signed_by = |key: &SigningKey| key.mac_of(content).verify_truncated_left(trailer).is_ok();
+        // The signature is compared in constant time.
+        let is_signed_by = |key: &SigningKey| key.mac(content).verify_truncated_left(trailer).is_ok();
         if self.0.iter().any(is_signed_by) { Ok(()) } else { Err(DatagramError::BadSignature) }
     }
 }
--- a/gossip/src/codec/tests.rs
+++ b/gossip/src/codec/tests.rs
@@ -20,40 +20,40 @@
 }
 
 #[test]
-fn sealed_datagram_round_trips() {
+fn encoded_datagram_round_trips() {
     for keys in [SigningKeys::default(), SigningKeys(vec![key(1)])] {
-        let opened = keys.open(&keys.seal(&datagram())).unwrap();
-        assert_eq!(opened, datagram());
-        let times: Vec<_> = opened.heartbeat_times(300).collect();
+        let decoded = keys.decode(&keys.encode(&datagram())).unwrap();
+        assert_eq!(decoded, datagram());
+        let times: Vec<_> = decoded.heartbeat_times(300).collect();
         assert_eq!(times, [(9, 16_999_999_996), (259, 17_000_000_001)]);
-        assert_eq!(opened.heartbeat(256, 0), None, "too far, and too long ago");
+        assert_eq!(decoded.heartbeat(256, 0), None, "distance and age do not fit into a byte");
     }
 }
 
 #[test]
 fn every_flipped_bit_and_truncation_is_detected() {
     for keys in [SigningKeys::default(), SigningKeys(vec![key(1)])] {
-        let sealed = keys.seal(&datagram());
-        for bit in 0..sealed.len() * 8 {
-            let mut bytes = sealed.clone();
+        let encoded = keys.encode(&datagram());
+        for bit in 0..encoded.len() * 8 {
+            let mut bytes = encoded.clone();
             bytes[bit / 8] ^= 1 << (bit % 8);
-            assert!(keys.open(&bytes).is_err(), "bit {bit}");
+            assert!(keys.decode(&bytes).is_err(), "bit {bit}");
         }
-        for length in 0..sealed.len() {
-            assert!(keys.open(&sealed[..length]).is_err(), "truncated to {length}");
+        for length in 0..encoded.len() {
+            assert!(keys.decode(&encoded[..length]).is_err(), "truncated to {length}");
         }
-        assert!(keys.open(&[0; 300]).is_err());
+        assert!(keys.decode(&[0; 300]).is_err());
     }
 }
 
 #[test]
 fn during_key_rotation_both_keys_are_accepted() {
     let (old, new) = (SigningKeys(vec![key(1)]), SigningKeys(vec![key(2)]));
-    let between = SigningKeys(vec![key(2), key(1)]);
-    assert!(between.open(&old.seal(&datagram())).is_ok());
-    assert!(new.open(&between.seal(&datagram())).is_ok(), "the first key signs");
-    assert_eq!(new.open(&old.seal(&datagram())), Err(DatagramError::BadSignature));
-    assert_eq!(new.open(&SigningKeys::default().seal(&datagram())), Err(DatagramError::BadSignature));
+    let both = SigningKeys(vec![key(2), key(1)]);
+    assert!(both.decode(&old.encode(&datagram())).is_ok());
+    assert!(new.decode(&both.encode(&datagram())).is_ok(), "the first key is used for signing");
+    assert_eq!(new.decode(&old.encode(&datagram())), Err(DatagramError::BadSignature));
+    assert_eq!(new.decode(&SigningKeys::default().encode(&datagram())), Err(DatagramError::BadSignature));
     assert_eq!(SigningKey::new(&[0; 31]).unwrap_err(), KeyTooShort { bytes: 31 });
-    assert_eq!(format!("{:?}", key(1)), "SigningKey", "a key is never shown");
+    assert_eq!(format!("{:?}", key(1)), "SigningKey", "debug output contains no key");
 }
--- a/gossip/src/token_bucket.rs
+++ b/gossip/src/token_bucket.rs
@@ -1,13 +1,13 @@
-//! A token bucket, which limits bytes or datagrams a second.
+//! Token bucket rate limiter for bytes or datagrams.
 
 use crate::Millis;
 
-/// A bucket of tokens that fills with time.
+/// A token bucket that refills continuously.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
-    /// Tokens added a second.
+    /// Refill rate, in tokens per second.
     per_second: f64,
-    /// Tokens at most.
+    /// Maximum number of tokens.
     capacity: f64,
     /// Tokens at the last update.
     tokens: f64,
@@ -15,17 +15,17 @@
 }
 
 impl TokenBucket {
-    /// A full bucket that fills by `per_second` up to `capacity`.
+    /// Creates a full bucket that refills at `per_second` up to `capacity`.
     pub fn new(per_second: f64, capacity: f64, now: Millis) -> Self {
         Self { per_second, capacity, tokens: capacity, updated_at: now }
     }
 
-    /// Takes that many tokens, if they are there; returns whether it did.
+    /// Takes `tokens` if available; returns whether it did.
     pub fn take(&mut self, tokens: f64, now: Millis) -> bool {
         self.take_with_reserve(tokens, 0.0, now)
     }
 
-    /// Takes that many tokens, if they are there and `reserve` remain; returns whether it did.
+    /// Takes `tokens` if available and at least `reserve` tokens remain; returns whether it did.
     pub fn take_with_reserve(&mut self, tokens: f64, reserve: f64, now: Millis) -> bool {
         let elapsed_seconds = now.saturating_sub(self.updated_at) as f64 / 1000.0;
         self.tokens = (self.tokens + elapsed_seconds * self.per_second).min(self.capacity);
--- a/gossip/tests/datagrams.rs
+++ b/gossip/tests/datagrams.rs
@@ -1,23 +1,23 @@
-//! Which datagrams a node accepts: old, repeated, forged and too many ones, and those after a restart or a suspension.
+//! Which datagrams a node accepts: old, repeated, forged and excess ones, and those after a restart or a suspension.
 
 mod support;
 
 use reedwalk_gossip::{
     Datagram, DatagramError, EngineKey, Fact, FactKind, GossipAction, GossipNode, SigningKey, SigningKeys,
 };
-use support::{START_MS, node_setup, started_node, unsigned_node};
+use support::{START_MS, node_config, started_node, unsigned_node};
 
-/// A datagram and when it was sent.
+/// A datagram and its send time.
 struct SentDatagram {
     bytes: Vec<u8>,
     at_ms: u64,
 }
 
-/// The next datagram that a node sends to gateway 1, from this time on.
+/// The next datagram that a node sends to gateway 1, beginning at `from_ms`.
 fn next_datagram(node: &mut GossipNode, from_ms: u64) -> SentDatagram {
     let mut actions = Vec::new();
     for at_ms in from_ms..from_ms + 2_000 {
-        node.act(at_ms, &mut actions);
+        node.tick(at_ms, &mut actions);
         let to_gateway_1 = |action| match action {
             GossipAction::Send(1, bytes) => Some(bytes),
             _ => None,
@@ -26,7 +26,7 @@
             return SentDatagram { bytes, at_ms };
         }
     }
-    panic!("nothing was sent");
+    panic!("no datagram was sent to gateway 1");
 }
 
 #[test]
@@ -39,11 +39,15 @@
     let now_ms = first.at_ms + 600;
     assert_eq!(receiver.on_datagram(Some(0), &second.bytes, now_ms), Ok(()));
     assert_eq!(receiver.on_datagram(Some(0), &second.bytes, now_ms), Err(DatagramError::Stale), "repeated");
-    assert_eq!(receiver.on_datagram(Some(0), &first.bytes, now_ms), Err(DatagramError::Stale), "overtaken");
+    assert_eq!(
+        receiver.on_datagram(Some(0), &first.bytes, now_ms),
+        Err(DatagramError::Stale),
+        "overtaken by a later datagram"
+    );
     assert_eq!(
         receiver.on_datagram(Some(2), &first.bytes, now_ms),
         Err(DatagramError::UnknownSender),
-        "from another's address"
+        "from the address of another gateway"
     );
     assert_eq!(receiver.on_datagram(None, &first.bytes, now_ms), Err(DatagramError::UnknownSender));
     assert_eq!(
@@ -60,16 +64,16 @@
         Err(DatagramError::Stale),
         "of the earlier incarnation"
     );
-    // Delayed for longer than any fact holds, or of a clock far ahead.
-    let mut delayed = unsigned_node(2, 3, new.at_ms + 60_000);
-    assert_eq!(delayed.on_datagram(Some(0), &new.bytes, new.at_ms + 60_000), Err(DatagramError::Stale));
-    let mut behind = unsigned_node(2, 3, START_MS - 60_000);
-    assert_eq!(behind.on_datagram(Some(0), &new.bytes, START_MS - 60_000), Err(DatagramError::Future));
+    // Delayed for longer than any fact is valid, or sent by a clock that is far ahead.
+    let mut late_node = unsigned_node(2, 3, new.at_ms + 60_000);
+    assert_eq!(late_node.on_datagram(Some(0), &new.bytes, new.at_ms + 60_000), Err(DatagramError::Stale));
+    let mut node_behind = unsigned_node(2, 3, START_MS - 60_000);
+    assert_eq!(node_behind.on_datagram(Some(0), &new.bytes, START_MS - 60_000), Err(DatagramError::Future));
     let counters = receiver.counters();
     assert_eq!((counters.accepted, counters.stale, counters.unknown_sender), (2, 3, 3));
 }
 
-/// A node of a fleet of four receives facts from another, sent now.
+/// Passes facts from another gateway, sent now, to a node of a fleet of four.
 fn receive_facts(
     node: &mut GossipNode,
     from: u16,
@@ -78,45 +82,45 @@
     facts: Vec<Fact>,
 ) -> Result<(), DatagramError> {
     let datagram = Datagram { from, incarnation, sent: at_ms * 1000, facts, heartbeats: Vec::new() };
-    node.on_datagram(Some(from), &SigningKeys::default().seal(&datagram), at_ms)
+    node.on_datagram(Some(from), &SigningKeys::default().encode(&datagram), at_ms)
 }
 
-/// The number of observations that a node takes over from others now.
-fn shared_observations(node: &mut GossipNode, now_ms: u64) -> usize {
+/// Number of observations from other gateways that a node applies now.
+fn agreed_observations(node: &mut GossipNode, now_ms: u64) -> usize {
     let mut actions = Vec::new();
-    node.act(now_ms, &mut actions);
-    actions.iter().filter(|action| matches!(action, GossipAction::Observed(_))).count()
+    node.tick(now_ms, &mut actions);
+    actions.iter().filter(|action| matches!(action, GossipAction::ApplyObservation(_))).count()
 }
 
 #[test]
-fn restart_withdraws_reports() {
+fn restart_of_a_reporter_drops_its_reports() {
     let mut node = unsigned_node(0, 4, START_MS);
     let failing = Fact { engine: EngineKey(1), started: 0, kind: 0, ttl_centis: 900, value: 0 };
     assert_eq!(receive_facts(&mut node, 1, START_MS, START_MS + 10, vec![failing]), Ok(()));
     assert_eq!(receive_facts(&mut node, 2, START_MS, START_MS + 10, vec![failing]), Ok(()));
     assert_eq!(node.ejected_count(START_MS + 20), 1);
     assert_eq!(receive_facts(&mut node, 2, START_MS + 30, START_MS + 40, Vec::new()), Ok(()));
-    assert_eq!(node.ejected_count(START_MS + 50), 0, "not found in this incarnation");
-    // The same of observations.
+    assert_eq!(node.ejected_count(START_MS + 50), 0, "not reported in this incarnation");
+    // The same for observations.
     let slow = Fact { kind: FactKind::Slow.into(), value: 80, ..failing };
     assert_eq!(receive_facts(&mut node, 1, START_MS, START_MS + 60, vec![slow]), Ok(()));
     assert_eq!(receive_facts(&mut node, 1, START_MS + 70, START_MS + 80, Vec::new()), Ok(()));
     assert_eq!(receive_facts(&mut node, 2, START_MS + 30, START_MS + 90, vec![slow]), Ok(()));
-    assert_eq!(shared_observations(&mut node, START_MS + 100), 0);
+    assert_eq!(agreed_observations(&mut node, START_MS + 100), 0);
     assert_eq!(receive_facts(&mut node, 1, START_MS + 70, START_MS + 110, vec![slow]), Ok(()));
-    assert_eq!(shared_observations(&mut node, START_MS + 120), 1);
+    assert_eq!(agreed_observations(&mut node, START_MS + 120), 1);
 }
 
 #[test]
 fn excess_datagrams_are_not_decoded() {
     let keys = SigningKeys(vec![SigningKey::new(&[5; 32]).unwrap()]);
-    let mut node = started_node(node_setup(1, 3, keys.clone()), START_MS);
+    let mut node = started_node(node_config(1, 3, keys.clone()), START_MS);
     for number in 0..10_000 {
         let _ = node.on_datagram(Some(2), &[1; 100], START_MS + number / 10);
     }
     let counters = node.counters();
     assert!(counters.bad_signature <= 401 && counters.rate_limited >= 9_599, "{counters:?}");
-    let valid = keys.seal(&Datagram {
+    let valid = keys.encode(&Datagram {
         from: 0,
         incarnation: START_MS,
         sent: (START_MS + 1_000) * 1000,
@@ -129,14 +133,14 @@
 fn own_reports_after_a_suspension_are_suppressed() {
     let mut node = unsigned_node(1, 3, START_MS);
     let mut actions = Vec::new();
-    (0..1_000).for_each(|elapsed_ms| node.act(START_MS + elapsed_ms, &mut actions));
+    (0..1_000).for_each(|elapsed_ms| node.tick(START_MS + elapsed_ms, &mut actions));
     let resumed_ms = START_MS + 11_000;
-    node.report_outlier(EngineKey(3), FactKind::Silent, resumed_ms + 4_000, resumed_ms);
-    node.act(resumed_ms + 500, &mut actions);
-    node.report_outlier(EngineKey(4), FactKind::Silent, resumed_ms + 4_000, resumed_ms + 900);
+    node.report_outlier(EngineKey(3), FactKind::Unresponsive, resumed_ms + 4_000, resumed_ms);
+    node.tick(resumed_ms + 500, &mut actions);
+    node.report_outlier(EngineKey(4), FactKind::Unresponsive, resumed_ms + 4_000, resumed_ms + 900);
     assert_eq!((node.counters().suppressed_reports, node.counters().own_reports), (2, 0));
-    assert_eq!(node.live_count(resumed_ms + 900), 3, "the node was suspended, the others were not silent");
-    node.act(resumed_ms + 1_000, &mut actions);
-    node.report_outlier(EngineKey(3), FactKind::Silent, resumed_ms + 9_000, resumed_ms + 1_100);
+    assert_eq!(node.live_count(resumed_ms + 900), 3, "the node was suspended, the others were not dead");
+    node.tick(resumed_ms + 1_000, &mut actions);
+    node.report_outlier(EngineKey(3), FactKind::Unresponsive, resumed_ms + 9_000, resumed_ms + 1_100);
     assert_eq!(node.counters().own_reports, 1);
 }
--- a/gossip/tests/fleet.rs
+++ b/gossip/tests/fleet.rs
@@ -1,46 +1,46 @@
-//! Whole fleets of gossip nodes in virtual time: detection of dead gateways, and the spread of outlier reports and of
-//! observations, with lost datagrams.
+//! Simulates whole fleets of gossip nodes in virtual time with datagram loss: detection of dead gateways, and
+//! dissemination of outlier reports and observations.
 
 mod support;
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use reedwalk_gossip::{
-    EngineKey, FactKind, GossipAction, GossipNode, NodeSetup, OwnObservation, SharedObservation, SigningKeys,
-    dead_after,
+    AgreedObservation, EngineKey, FactKind, GossipAction, GossipNode, NodeConfig, OwnObservation,
+    SigningKeys, dead_after,
 };
 use std::collections::{BTreeMap, BTreeSet};
-use support::{MAX_BYTES_PER_SECOND, START_MS, engine_list, node_setup, started_node, unsigned_node};
+use support::{MAX_BYTES_PER_SECOND, START_MS, engine_list, node_config, started_node, unsigned_node};
 
-/// Time between two calls of every node.
+/// Interval between two ticks of every node.
 const STEP_MS: u64 = 10;
 
-/// A datagram on its way.
+/// A datagram in flight.
 struct Delivery {
     from: u16,
     to: u16,
     bytes: Vec<u8>,
 }
 
-/// What the other nodes have made known to a node.
+/// What a node has learned from the other nodes.
 #[derive(Clone, Debug, Default)]
 struct LearnedFacts {
-    /// Engines that were ejected on their reports.
+    /// Engines ejected because of their reports.
     ejected: BTreeSet<EngineKey>,
     restarted: BTreeSet<EngineKey>,
     slow: BTreeSet<EngineKey>,
 }
 
-/// A fleet in steps of [`STEP_MS`]. Datagrams take 1 to 60 ms; a share of them is lost.
+/// A fleet simulated in steps of [`STEP_MS`]. Datagrams take 1 to 60 ms; a share of them is lost.
 struct Fleet {
     now_ms: u64,
-    /// The nodes; `None` for a dead one.
+    /// The nodes; `None` for a killed one.
     nodes: Vec<Option<GossipNode>>,
-    /// Datagrams by the time of their delivery and their number.
+    /// Datagrams by delivery time and sequence number.
     in_flight: BTreeMap<(u64, u64), Delivery>,
-    datagrams: u64,
+    last_sequence: u64,
     loss: f64,
-    random: StdRng,
+    rng: StdRng,
     learned: Vec<LearnedFacts>,
     sent_bytes: Vec<u64>,
 }
@@ -49,11 +49,11 @@
     fn new(count: usize, loss: f64, seed: u64) -> Self {
         Self {
             now_ms: START_MS,
-            nodes: (0..count).map(|me| Some(unsigned_node(me as u16, count, START_MS))).collect(),
+            nodes: (0..count).map(|node_id| Some(unsigned_node(node_id as u16, count, START_MS))).collect(),
             in_flight: BTreeMap::new(),
-            datagrams: 0,
+            last_sequence: 0,
             loss,
-            random: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
             learned: vec![LearnedFacts::default(); count],
             sent_bytes: vec![0; count],
         }
@@ -63,11 +63,11 @@
         self.now_ms += STEP_MS;
         self.deliver();
         let mut actions = Vec::new();
-        for me in 0..self.nodes.len() {
-            let Some(node) = &mut self.nodes[me] else { continue };
-            node.act(self.now_ms, &mut actions);
+        for node_id in 0..self.nodes.len() {
+            let Some(node) = &mut self.nodes[node_id] else { continue };
+            node.tick(self.now_ms, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(me, action);
+                self.apply_action(node_id, action);
             }
         }
     }
@@ -81,30 +81,30 @@
         }
     }
 
-    fn carry_out(&mut self, me: usize, action: GossipAction) {
+    fn apply_action(&mut self, node_id: usize, action: GossipAction) {
         match action {
-            GossipAction::Send(to, bytes) => self.send(me, to, bytes),
-            GossipAction::Ejected(ejection) => {
+            GossipAction::Send(to, bytes) => self.send(node_id, to, bytes),
+            GossipAction::Eject(ejection) => {
                 assert!(ejection.until > self.now_ms && ejection.until <= self.now_ms + 10_000);
-                self.learned[me].ejected.insert(ejection.engine);
+                self.learned[node_id].ejected.insert(ejection.engine);
             }
-            GossipAction::Observed(SharedObservation::Restarted(engine, _)) => {
-                self.learned[me].restarted.insert(engine);
+            GossipAction::ApplyObservation(AgreedObservation::Restarted(engine, _)) => {
+                self.learned[node_id].restarted.insert(engine);
             }
-            GossipAction::Observed(SharedObservation::Slow(engine, _)) => {
-                self.learned[me].slow.insert(engine);
+            GossipAction::ApplyObservation(AgreedObservation::Slow(engine, _)) => {
+                self.learned[node_id].slow.insert(engine);
             }
-            GossipAction::LiveGateways(count) => assert!(count >= 0.2 * self.nodes.len() as f64),
+            GossipAction::SetLiveGateways(count) => assert!(count >= 0.2 * self.nodes.len() as f64),
         }
     }
 
-    fn send(&mut self, me: usize, to: u16, bytes: Vec<u8>) {
+    fn send(&mut self, node_id: usize, to: u16, bytes: Vec<u8>) {
         assert!(bytes.len() <= 256);
-        self.sent_bytes[me] += bytes.len() as u64;
-        if self.random.random::<f64>() >= self.loss {
-            let at_ms = self.now_ms + self.random.random_range(1..=60);
-            self.datagrams += 1;
-            self.in_flight.insert((at_ms, self.datagrams), Delivery { from: me as u16, to, bytes });
+        self.sent_bytes[node_id] += bytes.len() as u64;
+        if self.rng.random::<f64>() >= self.loss {
+            let at_ms = self.now_ms + self.rng.random_range(1..=60);
+            self.last_sequence += 1;
+            self.in_flight.insert((at_ms, self.last_sequence), Delivery { from: node_id as u16, to, bytes });
         }
     }
 
@@ -119,7 +119,7 @@
         self.nodes.iter().flatten()
     }
 
-    /// Pairs of live nodes of which one takes the other for dead.
+    /// Number of ordered pairs of live nodes of which one considers the other dead.
     fn false_alarms(&self) -> usize {
         let live: Vec<_> = (0..self.nodes.len()).filter(|node| self.nodes[*node].is_some()).collect();
         let is_dead = |observer: &GossipNode, node: &usize| !observer.is_live(*node as u16, self.now_ms);
@@ -127,26 +127,26 @@
         self.live_nodes().map(dead_by).sum()
     }
 
-    /// Kills a node and returns the milliseconds until all others have detected that.
+    /// Kills a node and returns the milliseconds until all others have detected it.
     fn detection_time_ms(&mut self, killed: u16) -> u64 {
-        let since_ms = self.now_ms;
+        let begin_ms = self.now_ms;
         self.nodes[usize::from(killed)] = None;
         while self.live_nodes().any(|node| node.is_live(killed, self.now_ms)) {
             self.step();
-            assert!(self.now_ms < since_ms + 30_000, "never detected");
+            assert!(self.now_ms < begin_ms + 30_000, "the killed gateway was never detected");
         }
-        self.now_ms - since_ms
+        self.now_ms - begin_ms
     }
 
-    /// A node reports that it has ejected an engine for 4 s.
-    fn report_failing(&mut self, me: usize, engine: EngineKey) {
+    /// Reports from node `node_id` that it has ejected an engine for 4 s.
+    fn report_failing(&mut self, node_id: usize, engine: EngineKey) {
         let now_ms = self.now_ms;
-        let node = self.nodes[me].as_mut().unwrap();
+        let node = self.nodes[node_id].as_mut().unwrap();
         node.report_outlier(engine, FactKind::Failing, now_ms + 4_000, now_ms);
     }
 
-    /// The number of nodes that have ejected an engine on the reports of others.
-    fn ejected_at(&self, engine: EngineKey) -> usize {
+    /// Number of nodes that have ejected an engine because of the reports of others.
+    fn ejected_count(&self, engine: EngineKey) -> usize {
         self.learned.iter().filter(|learned| learned.ejected.contains(&engine)).count()
     }
 }
@@ -183,11 +183,11 @@
         fleet.report_failing(9, reported_twice);
         fleet.report_failing(4, reported_once);
         fleet.run(3_000);
-        // All but the two reporters, each of which receives one other report only. A report is sent three times, so few
-        // nodes miss it.
-        let reached = fleet.ejected_at(reported_twice);
-        let by_one_report = fleet.ejected_at(reported_once);
-        println!("{loss} lost: {reached} of 58 reached");
+        // All but the two reporters, each of which receives only one other report. A report is sent three times, so
+        // few nodes miss it.
+        let reached = fleet.ejected_count(reported_twice);
+        let by_one_report = fleet.ejected_count(reported_once);
+        println!("{loss} lost: {reached} of 58 gateways reached");
         assert!(
             (min_reached..=58).contains(&reached) && by_one_report == 0,
             "{loss} lost: {reached}, {by_one_report}"
@@ -195,14 +195,14 @@
     }
 }
 
-/// The engine that restarts in [`observations_spread_at_any_fleet_size`], and the one that is slow.
+/// The restarted engine in [`observations_spread_at_any_fleet_size`], and the slow one.
 const RESTARTED: EngineKey = EngineKey(3);
 const SLOW: EngineKey = EngineKey(5);
 
-/// The observations of a node; every second node observes the slow engine.
-fn observations(me: usize) -> Vec<OwnObservation> {
+/// Observations of a node; every second node observes the slow engine.
+fn observations(node_id: usize) -> Vec<OwnObservation> {
     let slowdown = |engine| match engine {
-        SLOW if me % 2 == 1 => Some(6.0),
+        SLOW if node_id % 2 == 1 => Some(6.0),
         SLOW => None,
         _ => Some(1.1),
     };
@@ -217,52 +217,52 @@
         fleet.run(3_000);
         let mut restarted_list = engine_list();
         restarted_list.insert(RESTARTED, (fleet.now_ms / 1000) as u32);
-        let since_ms = fleet.now_ms;
+        let begin_ms = fleet.now_ms;
         let mut spread_ms = None;
         while spread_ms.is_none() {
             let now_ms = fleet.now_ms;
-            assert!(now_ms < since_ms + max_spread_ms, "{count}, {loss}: {:?}", fleet.learned);
-            for (me, node) in fleet.nodes.iter_mut().enumerate() {
+            assert!(now_ms < begin_ms + max_spread_ms, "{count}, {loss}: {:?}", fleet.learned);
+            for (node_id, node) in fleet.nodes.iter_mut().enumerate() {
                 let node = node.as_mut().unwrap();
-                // Half of the nodes know of the restart by their endpoint list.
-                if me % 2 == 0 {
+                // Half of the nodes learn of the restart from their endpoint list.
+                if node_id % 2 == 0 {
                     node.set_engines(&restarted_list, now_ms);
                 }
-                node.set_observations(&observations(me), now_ms);
+                node.set_observations(&observations(node_id), now_ms);
             }
             fleet.run(200);
-            let has_learned_both = |me: usize| {
-                let learned = &fleet.learned[me];
-                (me.is_multiple_of(2) || learned.restarted.contains(&RESTARTED))
+            let has_learned_both = |node_id: usize| {
+                let learned = &fleet.learned[node_id];
+                (node_id.is_multiple_of(2) || learned.restarted.contains(&RESTARTED))
                     && learned.slow.contains(&SLOW)
             };
-            spread_ms = (0..count).all(has_learned_both).then_some(fleet.now_ms - since_ms);
+            spread_ms = (0..count).all(has_learned_both).then_some(fleet.now_ms - begin_ms);
         }
         fleet.run(5_000);
         assert_eq!(fleet.false_alarms(), 0, "heartbeats have their share of the bandwidth");
-        let has_no_other = |learned: &LearnedFacts| {
+        let has_no_other_engines = |learned: &LearnedFacts| {
             learned.restarted.iter().all(|engine| *engine == RESTARTED)
                 && learned.slow.iter().all(|engine| *engine == SLOW)
         };
-        assert!(fleet.learned.iter().all(has_no_other), "{:?}", fleet.learned);
-        println!("{count} gateways, {loss} lost: both known to all after {} ms", spread_ms.unwrap());
+        assert!(fleet.learned.iter().all(has_no_other_engines), "{:?}", fleet.learned);
+        println!("{count} gateways, {loss} lost: all gateways know both after {} ms", spread_ms.unwrap());
     }
 }
 
 #[test]
 fn without_heartbeats_only_reports_are_sent() {
-    let setup = node_setup(0, 3, SigningKeys::default());
-    let mut node = started_node(NodeSetup { heartbeats: false, ..setup }, START_MS);
+    let config = node_config(0, 3, SigningKeys::default());
+    let mut node = started_node(NodeConfig { heartbeats_enabled: false, ..config }, START_MS);
     let mut actions = Vec::new();
-    (0..60_000).step_by(50).for_each(|elapsed_ms| node.act(START_MS + elapsed_ms, &mut actions));
+    (0..60_000).step_by(50).for_each(|elapsed_ms| node.tick(START_MS + elapsed_ms, &mut actions));
     assert_eq!((actions.len(), node.live_count(START_MS + 60_000)), (0, 3));
     let now_ms = START_MS + 60_000;
     node.report_outlier(EngineKey(1), FactKind::Failing, now_ms + 1_000, now_ms);
-    (0..1_000).for_each(|elapsed_ms| node.act(now_ms + elapsed_ms, &mut actions));
+    (0..1_000).for_each(|elapsed_ms| node.tick(now_ms + elapsed_ms, &mut actions));
     let receiver = |action: &GossipAction| match action {
         GossipAction::Send(to, _) => Some(*to),
         _ => None,
     };
-    let receivers: BTreeSet<_> = actions.iter().filter_map(receiver).collect();
-    assert_eq!(receivers, BTreeSet::from([1, 2]));
+    let receiver_ids: BTreeSet<_> = actions.iter().filter_map(receiver).collect();
+    assert_eq!(receiver_ids, BTreeSet::from([1, 2]));
 }
--- a/gossip/tests/golden.rs
+++ b/gossip/tests/golden.rs
@@ -1,16 +1,16 @@
-//! Datagrams between gateways as the program sent them before the names of its types changed: one with a fact of
-//! each kind, one with heartbeats, one with neither, each with a checksum and signed.
+//! Guards the wire format against changes: encoded datagrams must equal recorded ones. The file has a datagram
+//! without content, one with a fact of each kind and one with heartbeats, each with a checksum and signed.
 
 use reedwalk_gossip::{Datagram, EngineKey, Fact, FactKind, Heartbeat, SigningKey, SigningKeys};
 
 const GOLDEN: &str = include_str!("golden/datagrams.hex");
 
-fn unhex(digits: &str) -> Vec<u8> {
+fn from_hex(digits: &str) -> Vec<u8> {
     let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).expect("two hexadecimal digits");
     (0..digits.len()).step_by(2).map(byte).collect()
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
@@ -21,19 +21,19 @@
 fn facts() -> Datagram {
     let kinds = [
         FactKind::Failing,
-        FactKind::Silent,
+        FactKind::Unresponsive,
         FactKind::AttemptFailed,
         FactKind::Restarted,
         FactKind::Slow,
         FactKind::ThreadUse,
-        FactKind::Other(99),
+        FactKind::Unknown(99),
     ];
-    let fact = |(number, kind): (usize, FactKind)| Fact {
-        engine: EngineKey::from(format!("s-{number}").as_str()),
-        started: 1_764_600_000 + number as u32,
+    let fact = |(index, kind): (usize, FactKind)| Fact {
+        engine: EngineKey::from(format!("s-{index}").as_str()),
+        started: 1_764_600_000 + index as u32,
         kind: kind.into(),
-        ttl_centis: 800 - number as u16,
-        value: 24 * number as u8,
+        ttl_centis: 800 - index as u16,
+        value: 24 * index as u8,
     };
     Datagram { facts: kinds.into_iter().enumerate().map(fact).collect(), ..empty() }
 }
@@ -58,17 +58,17 @@
 }
 
 #[test]
-fn datagrams_are_written_as_before() {
-    let written: Vec<_> = datagrams().iter().map(|(keys, datagram)| hex(&keys.seal(datagram))).collect();
+fn encoding_matches_the_recorded_datagrams() {
+    let encoded: Vec<_> = datagrams().iter().map(|(keys, datagram)| to_hex(&keys.encode(datagram))).collect();
     let expected: Vec<_> = GOLDEN.lines().collect();
-    assert_eq!(written, expected);
+    assert_eq!(encoded, expected);
 }
 
 #[test]
-fn datagrams_of_the_version_before_are_read() {
+fn recorded_datagrams_are_decoded() {
     let lines: Vec<_> = GOLDEN.lines().collect();
     assert_eq!(lines.len(), datagrams().len());
     for (line, (keys, datagram)) in lines.into_iter().zip(datagrams()) {
-        assert_eq!(keys.open(&unhex(line)), Ok(datagram));
+        assert_eq!(keys.decode(&from_hex(line)), Ok(datagram));
     }
 }
--- a/simulator-adapter/src/gossip.rs
+++ b/simulator-adapter/src/gossip.rs
@@ -4,8 +4,8 @@
 use base64::Engine;
 use base64::prelude::BASE64_STANDARD;
 use reedwalk_gossip::{
-    EngineKey, FactKind, GossipAction, GossipNode, Millis, NodeSetup, OwnObservation, PeerId,
-    SharedObservation, SigningKeys,
+    AgreedObservation, EngineKey, FactKind, GossipAction, GossipNode, Millis, NodeConfig, OwnObservation,
+    PeerId, SigningKeys,
 };
 use reedwalk_scheduler::{
     Action, AttemptEnded, EngineEntry, EngineId, EngineObservation, EngineState, Event, Outcome, RequestId,
@@ -51,17 +51,18 @@
     pub fn new(deployment: &Deployment, seed: u64, now: Millis) -> Option<Self> {
         let settings = &deployment.scheduler;
         let is_enabled = deployment.sockets.may_gossip.unwrap_or(false) && settings.gateways > 1;
-        let (me, count) = (PeerId::try_from(settings.ordinal).ok()?, settings.gateways as usize);
-        let setup = NodeSetup {
-            me,
-            count,
+        let (local_id, gateway_count) =
+            (PeerId::try_from(settings.ordinal).ok()?, settings.gateways as usize);
+        let config = NodeConfig {
+            local_id,
+            gateway_count,
             max_bytes_per_second: MAX_BYTES_PER_SECOND,
-            keys: SigningKeys::default(),
-            heartbeats: false,
+            signing_keys: SigningKeys::default(),
+            heartbeats_enabled: false,
             seed,
         };
         is_enabled.then(|| Self {
-            node: GossipNode::new(setup, now),
+            node: GossipNode::new(config, now),
             listed: BTreeMap::new(),
             engine_by_key: HashMap::new(),
             key_by_engine: HashMap::new(),
@@ -109,7 +110,7 @@
             Action::Send { request, engine, .. } => _ = self.in_flight.insert(*request, *engine),
             Action::Reject { request, .. } | Action::Fail { request } => _ = self.with_error.remove(request),
             Action::EngineEjected { engine, unresponsive, duration } => {
-                let kind = if *unresponsive { FactKind::Silent } else { FactKind::Failing };
+                let kind = if *unresponsive { FactKind::Unresponsive } else { FactKind::Failing };
                 self.report(*engine, kind, now + duration.as_millis() as Millis, now);
             }
             _ => {}
@@ -141,29 +142,31 @@
     /// The notes to be sent now, encoded, with their receivers, and the events for the scheduler.
     pub fn act(&mut self, now: Millis) -> (Vec<(u64, String)>, Vec<Event>) {
         let (mut actions, mut notes, mut events) = (Vec::new(), Vec::new(), Vec::new());
-        self.node.act(now, &mut actions);
+        self.node.tick(now, &mut actions);
         for action in actions {
             match action {
                 GossipAction::Send(to, bytes) => notes.push((u64::from(to), BASE64_STANDARD.encode(bytes))),
-                GossipAction::Ejected(ejection) => {
+                GossipAction::Eject(ejection) => {
                     let duration = Duration::from_millis(ejection.until.saturating_sub(now));
                     let engine = self.engine_by_key.get(&ejection.engine);
                     events.extend(engine.map(|engine| Event::EjectedByGossip { engine: *engine, duration }));
                 }
-                GossipAction::Observed(observation) => events.extend(self.observation_event(observation)),
-                GossipAction::LiveGateways(count) => events.push(Event::LiveGateways(count)),
+                GossipAction::ApplyObservation(observation) => {
+                    events.extend(self.observation_event(observation))
+                }
+                GossipAction::SetLiveGateways(count) => events.push(Event::LiveGateways(count)),
             }
         }
         (notes, events)
     }
 
-    fn observation_event(&self, observation: SharedObservation) -> Option<Event> {
+    fn observation_event(&self, observation: AgreedObservation) -> Option<Event> {
         match observation {
-            SharedObservation::Restarted(key, second) => {
+            AgreedObservation::Restarted(key, second) => {
                 let started = Time((u64::from(second) * 1000).saturating_sub(START) * 1000);
                 Some(Event::EngineRestarted { engine: *self.engine_by_key.get(&key)?, started })
             }
-            SharedObservation::Slow(key, slowdown) => {
+            AgreedObservation::Slow(key, slowdown) => {
                 Some(Event::SlowdownObserved { engine: *self.engine_by_key.get(&key)?, slowdown })
             }
         }
