--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -120,7 +120,7 @@
         Scheduler::new(self.deployment.scheduler.clone(), self.seed).map_err(ConfigError::InvalidSettings)?;
         if let Some(known) = &self.known {
             EndpointList::new(Arc::new(self.deployment.sockets.clone()))
-                .start(known)
+                .apply_events(known)
                 .map_err(ConfigError::Known)?;
         }
         Ok(self)
--- a/gateway/src/discovery/endpoint_list.rs
+++ b/gateway/src/discovery/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list: engines by id, never by address, since a new engine may have the address of a removed one. It
-//! returns changes, and never accepts an older list than the one it has.
+//! The endpoint list. Engines are identified by id, never by address, because a new engine may reuse the address of a
+//! removed one. Updates return the changed endpoints; a list older than the current one is ignored.
 
 use super::dns;
 use crate::message::Endpoint;
@@ -11,28 +11,28 @@
 use std::sync::Arc;
 
 #[derive(Deserialize)]
-struct Known {
+struct ListEvents {
     #[serde(default)]
     seq: u32,
     #[serde(default)]
-    results: Vec<Item>,
+    results: Vec<ListEvent>,
 }
 
 #[derive(Deserialize)]
-struct Item {
-    fleet: Option<Fleet>,
+struct ListEvent {
+    fleet: Option<FleetEvent>,
 }
 
 #[derive(Deserialize)]
-struct Fleet {
+struct FleetEvent {
     #[serde(default)]
     full: bool,
     #[serde(default)]
-    servers: Vec<Server>,
+    servers: Vec<ServerRecord>,
 }
 
 #[derive(Deserialize)]
-struct Server {
+struct ServerRecord {
     id: String,
     addr: Option<SocketAddr>,
     #[serde(default)]
@@ -46,20 +46,20 @@
     started_ms: u64,
 }
 
-/// The engines as they were last listed.
+/// The engines as of the last applied update.
 #[derive(Debug)]
 pub struct EndpointList {
     sockets: Arc<Sockets>,
-    /// `None` before the first answer, which is accepted whatever its serial.
+    /// Serial of the last complete update. `None` until the first one, which is applied whatever its serial.
     serial: Option<u32>,
-    /// Serial of the latest answer that lacked an address; nothing older is accepted after it either.
-    incomplete: Option<u32>,
-    ids: HashMap<String, EngineId>,
-    next: u32,
-    listed: BTreeMap<EngineId, Endpoint>,
+    /// Serial of the latest answer that lacked an address; older answers are ignored after it too.
+    incomplete_serial: Option<u32>,
+    ids_by_name: HashMap<String, EngineId>,
+    next_id: u32,
+    endpoints: BTreeMap<EngineId, Endpoint>,
 }
 
-/// Ids of unlisted engines that are remembered at most, beyond as many as are listed.
+/// Maximum number of ids that are kept for unlisted engines, in addition to as many as there are listed ones.
 const MAX_UNLISTED_IDS: usize = 64;
 
 /// Whether `a` is later than `b` in serial number arithmetic (RFC 1982).
@@ -73,84 +73,84 @@
         Self {
             sockets,
             serial: None,
-            incomplete: None,
-            ids: HashMap::new(),
-            next: 0,
-            listed: BTreeMap::new(),
+            incomplete_serial: None,
+            ids_by_name: HashMap::new(),
+            next_id: 0,
+            endpoints: BTreeMap::new(),
         }
     }
 
-    /// Serial of the last event.
+    /// Serial of the last complete update.
     pub fn serial(&self) -> Option<u32> {
         self.serial
     }
 
-    /// The id of an engine in this process. Names are never reused, so those of unlisted engines are forgotten once there
-    /// are many; one that comes back later is a new engine.
-    fn id(&mut self, name: &str) -> EngineId {
-        if let Some(id) = self.ids.get(name) {
+    /// Returns the id of an engine in this process, and assigns one to a new name. Names are never reused, so those of
+    /// unlisted engines are evicted once there are many; an evicted engine that is listed again gets a new id.
+    fn id_or_assign(&mut self, name: &str) -> EngineId {
+        if let Some(id) = self.ids_by_name.get(name) {
             return *id;
         }
-        if self.ids.len() >= 2 * self.listed.len() + MAX_UNLISTED_IDS {
-            self.ids.retain(|_, id| self.listed.contains_key(id));
+        if self.ids_by_name.len() >= 2 * self.endpoints.len() + MAX_UNLISTED_IDS {
+            self.ids_by_name.retain(|_, id| self.endpoints.contains_key(id));
         }
-        let id = EngineId(self.next);
-        self.next = self.next.wrapping_add(1);
-        self.ids.insert(name.to_owned(), id);
+        let id = EngineId(self.next_id);
+        self.next_id = self.next_id.wrapping_add(1);
+        self.ids_by_name.insert(name.to_owned(), id);
         id
     }
 
-    /// The id of the engine of this name, if it was ever listed and is still remembered.
+    /// The id of the engine with this name, if it was ever listed and has not been evicted.
     pub fn find(&self, name: &str) -> Option<EngineId> {
-        self.ids.get(name).copied()
+        self.ids_by_name.get(name).copied()
     }
 
-    /// All listed engines, with their names.
-    pub fn named(&self) -> impl Iterator<Item = (&str, &Endpoint)> {
-        self.ids.iter().filter_map(|(name, id)| Some((name.as_str(), self.listed.get(id)?)))
+    /// All listed engines with their names.
+    pub fn named_endpoints(&self) -> impl Iterator<Item = (&str, &Endpoint)> {
+        self.ids_by_name.iter().filter_map(|(name, id)| Some((name.as_str(), self.endpoints.get(id)?)))
     }
 
     /// All listed engines.
-    pub fn listed(&self) -> impl Iterator<Item = &Endpoint> {
-        self.listed.values()
+    pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
+        self.endpoints.values()
     }
 
-    /// Number of names that are remembered, listed or not.
-    pub fn remembered(&self) -> usize {
-        self.ids.len()
+    /// Number of names with an assigned id, listed or not.
+    pub fn known_names(&self) -> usize {
+        self.ids_by_name.len()
     }
 
     fn position(names: &[String], name: &str) -> Option<usize> {
-        names.iter().position(|n| n == name)
+        names.iter().position(|candidate| candidate == name)
     }
 
-    /// Applies the events of a configuration, in order. Returns the changes.
+    /// Applies the events of a configuration in order. Returns the changed endpoints.
     ///
     /// # Errors
-    /// Where they are not of the expected form.
-    pub fn start(&mut self, known: &serde_json::Value) -> Result<Vec<Endpoint>, serde_json::Error> {
-        let known = Known::deserialize(known)?;
+    /// If the events can't be deserialised.
+    pub fn apply_events(&mut self, events: &serde_json::Value) -> Result<Vec<Endpoint>, serde_json::Error> {
+        let events = ListEvents::deserialize(events)?;
         let mut changes = Vec::new();
-        for fleet in known.results.into_iter().filter_map(|i| i.fleet) {
-            let mut named = HashSet::new();
+        for fleet in events.results.into_iter().filter_map(|event| event.fleet) {
+            let mut listed_ids = HashSet::new();
             for server in fleet.servers {
-                let engine = self.id(&server.id);
-                named.insert(engine);
+                let engine = self.id_or_assign(&server.id);
+                listed_ids.insert(engine);
                 if let Some(endpoint) = self.endpoint_of_event(engine, &server) {
-                    self.apply(endpoint, &mut changes);
+                    self.apply_endpoint(endpoint, &mut changes);
                 }
             }
             if fleet.full {
-                self.remove_unlisted(&named, &mut changes);
+                self.remove_unlisted(&listed_ids, &mut changes);
             }
         }
-        self.serial = Some(known.seq);
+        self.serial = Some(events.seq);
         Ok(changes)
     }
 
-    /// The endpoint of an engine by an event of the configuration; `None` if its address was never known.
-    fn endpoint_of_event(&self, engine: EngineId, server: &Server) -> Option<Endpoint> {
-        let address = server.addr.or(self.listed.get(&engine).map(|listed| listed.address))?;
+    /// The endpoint of an engine according to a configuration event; `None` if its address has never been known.
+    fn endpoint_of_event(&self, engine: EngineId, server: &ServerRecord) -> Option<Endpoint> {
+        let address = server.addr.or(self.endpoints.get(&engine).map(|listed| listed.address))?;
         let state = match server.state.as_str() {
             "in_service" => EngineState::InService,
             "terminating" => EngineState::Draining,
@@ -162,93 +162,105 @@
             kind: Self::position(&self.sockets.kinds, &server.kind).map(KindId),
             cell: server.cell.map(CellId),
             state,
-            started: started(server.started_ms),
+            started: start_time(server.started_ms),
         };
         Some(Endpoint { entry, address })
     }
 
-    /// Applies the events of a new configuration, if they are later than the list. Returns the changes.
+    /// Applies the events of a new configuration if they are newer than the list. Returns the changed endpoints.
     ///
     /// # Errors
-    /// Where it is not of the form that is expected.
-    pub fn refresh(&mut self, known: &serde_json::Value) -> Result<Vec<Endpoint>, serde_json::Error> {
-        let seq = Known::deserialize(known)?.seq;
-        if self.serial.is_some_and(|s| !is_later(seq, s)) { Ok(Vec::new()) } else { self.start(known) }
+    /// If the events can't be deserialised.
+    pub fn apply_newer_events(
+        &mut self,
+        events: &serde_json::Value,
+    ) -> Result<Vec<Endpoint>, serde_json::Error> {
+        let seq = ListEvents::deserialize(events)?.seq;
+        if self.serial.is_some_and(|serial| !is_later(seq, serial)) {
+            Ok(Vec::new())
+        } else {
+            self.apply_events(events)
+        }
     }
 
-    /// Applies an answer of the name server, which is the complete list. One that is not later changes nothing. Returns
-    /// the changes.
-    pub fn take(&mut self, answer: dns::Answer) -> Vec<Endpoint> {
+    /// Applies an answer of the name server, which is the complete list, unless it is not newer than the current list.
+    /// Returns the changed endpoints.
+    pub fn apply_answer(&mut self, answer: dns::Answer) -> Vec<Endpoint> {
         let mut changes = Vec::new();
-        let is_old = self.serial.is_some_and(|s| !is_later(answer.serial, s));
-        if is_old || self.incomplete.is_some_and(|serial| is_later(serial, answer.serial)) {
+        let is_stale = self.serial.is_some_and(|serial| !is_later(answer.serial, serial));
+        if is_stale || self.incomplete_serial.is_some_and(|serial| is_later(serial, answer.serial)) {
             return changes;
         }
-        let mut named = HashSet::new();
+        let mut listed_ids = HashSet::new();
         let mut is_complete = true;
         for host in answer.hosts {
-            let engine = self.id(&host.id);
-            named.insert(engine);
+            let engine = self.id_or_assign(&host.id);
+            listed_ids.insert(engine);
             match self.endpoint_of_host(engine, &host) {
-                Some(endpoint) => self.apply(endpoint, &mut changes),
+                Some(endpoint) => self.apply_endpoint(endpoint, &mut changes),
                 None => is_complete = false,
             }
         }
-        self.remove_unlisted(&named, &mut changes);
+        self.remove_unlisted(&listed_ids, &mut changes);
         if is_complete {
             self.serial = Some(answer.serial);
         } else {
-            self.incomplete = Some(answer.serial);
+            self.incomplete_serial = Some(answer.serial);
         }
         changes
     }
 
-    /// The endpoint of an engine by an answer of the name server. What the answer leaves out stays as it was; `None` if
-    /// that includes an address that was never known.
+    /// The endpoint of an engine according to an answer of the name server. Attributes that the answer omits keep their
+    /// previous values. `None` if the answer has no address for the engine and none has ever been known.
     fn endpoint_of_host(&self, engine: EngineId, host: &dns::Host) -> Option<Endpoint> {
-        let listed = self.listed.get(&engine);
+        let listed = self.endpoints.get(&engine);
         let address = host.address.map(|address| SocketAddr::new(IpAddr::V4(address), host.port));
         let address = address.or(listed.map(|listed| listed.address))?;
-        let number = |name: &str| host.text.get(name).and_then(|value| value.parse::<u64>().ok());
-        let kind = host.text.get("kind").and_then(|kind| Self::position(&self.sockets.kinds, kind));
-        let old = listed.map(|listed| &listed.entry);
+        let number = |name: &str| host.attributes.get(name).and_then(|value| value.parse::<u64>().ok());
+        let kind = host.attributes.get("kind").and_then(|kind| Self::position(&self.sockets.kinds, kind));
+        let previous = listed.map(|listed| &listed.entry);
         let entry = EngineEntry {
             engine,
             zone: Self::position(&self.sockets.zones, &host.zone).map(ZoneId),
-            kind: kind.map(KindId).or(old.and_then(|old| old.kind)),
-            cell: number("cell").map(CellId).or(old.and_then(|old| old.cell)),
+            kind: kind.map(KindId).or(previous.and_then(|previous| previous.kind)),
+            cell: number("cell").map(CellId).or(previous.and_then(|previous| previous.cell)),
             state: if host.draining { EngineState::Draining } else { EngineState::InService },
-            started: number("started").map_or(old.and_then(|old| old.started), started),
+            started: number("started").map_or(previous.and_then(|previous| previous.started), start_time),
         };
         Some(Endpoint { entry, address })
     }
 
-    fn apply(&mut self, listed: Endpoint, changes: &mut Vec<Endpoint>) {
-        let engine = listed.entry.engine;
-        if self.listed.get(&engine) == Some(&listed) {
+    fn apply_endpoint(&mut self, endpoint: Endpoint, changes: &mut Vec<Endpoint>) {
+        let engine = endpoint.entry.engine;
+        if self.endpoints.get(&engine) == Some(&endpoint) {
             return;
         }
-        if listed.entry.state == EngineState::Removed {
-            if self.listed.remove(&engine).is_none() {
+        if endpoint.entry.state == EngineState::Removed {
+            if self.endpoints.remove(&engine).is_none() {
                 return;
             }
         } else {
-            self.listed.insert(engine, listed.clone());
+            self.endpoints.insert(engine, endpoint.clone());
         }
-        changes.retain(|c| c.entry.engine != engine);
-        changes.push(listed);
+        changes.retain(|change| change.entry.engine != engine);
+        changes.push(endpoint);
     }
 
-    fn remove_unlisted(&mut self, named: &HashSet<EngineId>, changes: &mut Vec<Endpoint>) {
-        let gone: Vec<_> =
-            self.listed.values().filter(|l| !named.contains(&l.entry.engine)).cloned().collect();
-        for mut listed in gone {
-            listed.entry.state = EngineState::Removed;
-            self.apply(listed, changes);
+    fn remove_unlisted(&mut self, listed_ids: &HashSet<EngineId>, changes: &mut Vec<Endpoint>) {
+        let removed: Vec<_> = self
+            .endpoints
+            .values()
+            .filter(|endpoint| !listed_ids.contains(&endpoint.entry.engine))
+            .cloned()
+            .collect();
+        for mut endpoint in removed {
+            endpoint.entry.state = EngineState::Removed;
+            self.apply_endpoint(endpoint, changes);
         }
     }
 }
 
-fn started(unix_ms: u64) -> Option<Time> {
+/// Converts a start time; 0 stands for an unknown one.
+fn start_time(unix_ms: u64) -> Option<Time> {
     (unix_ms > 0).then(|| Time(unix_ms.saturating_mul(1000)))
 }
--- a/gateway/src/discovery/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -1,5 +1,4 @@
-//! Service discovery: the client of the name server. It polls the server over DNS and hands answers to the endpoint
-//! registry.
+//! Service discovery: a client that polls the name server over DNS and passes its answers to the endpoint registry.
 
 pub mod dns;
 pub mod endpoint_list;
@@ -15,66 +14,64 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// Interval at which the name server is polled. The platform takes a change for known 1.5 s after it happened, whether
-/// the gateway asked for it or not, so it must have arrived here by then.
+/// Interval at which the name server is polled. The platform assumes that a gateway knows of a change 1.5 s after it
+/// happened, so the gateway must have polled successfully by then.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Answers to this many of the latest queries are accepted: a late answer is as good as a quick one, and the serial keeps
-/// an old list from replacing a newer one.
+/// Number of latest queries whose answers are accepted. A delayed answer is still useful, and its serial keeps an older
+/// list from replacing a newer one.
 const MAX_OPEN_QUERIES: usize = 16;
-/// Without a valid answer for this long the name server is logged as unreachable.
-const SILENCE_LOG_THRESHOLD: Duration = Duration::from_secs(2);
-/// Without a valid answer for this long, it is polled from a new socket as well: a network path that has failed once may
-/// never recover.
+/// Time without a valid answer after which the name server is logged as not answering.
+const UNRESPONSIVE_LOG_THRESHOLD: Duration = Duration::from_secs(2);
+/// Time without a valid answer after which queries are sent from a new socket, because a failed network path may never
+/// recover.
 const SOCKET_RENEWAL_THRESHOLD: Duration = Duration::from_secs(1);
-/// Late answers may still arrive at earlier sockets; this many sockets are open at most.
+/// Maximum number of open sockets. Earlier ones stay open because delayed answers may still arrive there.
 const MAX_SOCKETS: usize = 4;
-/// Bytes of the receive buffer; answers have up to 8,000.
-const MAX_ANSWER_BYTES: usize = 9000;
-/// Multiplier and increment of the linear congruential generator of query ids.
+/// Size of the receive buffer; answers have up to 8,000 bytes.
+const RECEIVE_BUFFER_BYTES: usize = 9000;
+/// Multiplier and increment of the linear congruential generator (LCG) of query ids.
 const LCG_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
 const LCG_INCREMENT: u64 = 1_442_695_040_888_963_407;
 
-/// Where the endpoint list comes from; a new configuration brings another source while the program runs.
+/// The source of the endpoint list; a configuration reload can replace it at run time.
 #[derive(Clone, Debug, Default)]
 pub struct DiscoverySource {
-    /// Where the name server listens.
+    /// Address of the name server.
     pub server: Option<SocketAddr>,
-    /// The list's events as the configuration has them.
-    pub known: Option<serde_json::Value>,
+    /// Endpoint list events from the configuration.
+    pub events: Option<serde_json::Value>,
 }
 
-/// Why one name server is no longer polled.
-enum PollEnd {
-    /// The source has changed.
+/// Why polling of a name server stopped.
+enum StopReason {
     SourceChanged,
-    /// The program ends.
-    ProgramEnds,
+    /// The process is shutting down.
+    Shutdown,
 }
 
-impl PollEnd {
-    /// Waits until the source changes, or the sender of changes is dropped.
+impl StopReason {
+    /// Waits until the source changes or its sender is dropped.
     async fn wait(sources: &mut watch::Receiver<DiscoverySource>) -> Self {
-        if sources.changed().await.is_ok() { Self::SourceChanged } else { Self::ProgramEnds }
+        if sources.changed().await.is_ok() { Self::SourceChanged } else { Self::Shutdown }
     }
 }
 
-/// The client of the name server.
 struct DiscoveryClient {
     registry: EndpointRegistry,
-    /// State of the generator of query ids: an id can't be predicted from earlier ones.
-    random: u64,
-    /// Ids of the latest queries, the last one first.
-    open_queries: VecDeque<u16>,
-    /// Answers do not fit into plain DNS, so larger ones are requested (EDNS).
-    wants_large_answers: bool,
-    is_silent: bool,
+    /// State of the query id generator, whose low bits are not sent, so that ids are hard to predict from earlier ones.
+    rng_state: u64,
+    /// Ids of the latest queries, the newest first.
+    open_query_ids: VecDeque<u16>,
+    /// An answer was too large for plain DNS, so queries allow larger ones (EDNS).
+    accepts_large_answers: bool,
+    unresponsive_logged: bool,
     last_answer: Instant,
     log: Logger,
 }
 
-/// Polls the name server for as long as the program runs. Where the source changes, the next server is polled at once;
-/// the list and its serial go on.
-pub async fn watch(
+/// Polls the name server until shutdown. When the source changes, the new server is polled immediately; the list and
+/// its serial are kept.
+pub async fn poll_endpoint_list(
     mut sources: watch::Receiver<DiscoverySource>,
     registry: EndpointRegistry,
     seed: u64,
@@ -82,73 +79,77 @@
 ) {
     let mut client = DiscoveryClient {
         registry,
-        random: seed,
-        open_queries: VecDeque::new(),
-        wants_large_answers: false,
-        is_silent: false,
+        rng_state: seed,
+        open_query_ids: VecDeque::new(),
+        accepts_large_answers: false,
+        unresponsive_logged: false,
         last_answer: Instant::now(),
         log,
     };
     loop {
         let source = sources.borrow_and_update().clone();
-        if let Some(known) = &source.known
-            && let Err(error) = client.registry.refresh(known)
+        if let Some(events) = &source.events
+            && let Err(error) = client.registry.apply_newer_events(events)
         {
             warn!(client.log, "endpoint list of the new configuration rejected"; "error" => %error);
         }
-        let end = match source.server {
+        let stop_reason = match source.server {
             Some(server) => client.poll(server, &mut sources).await,
-            None => PollEnd::wait(&mut sources).await,
+            None => StopReason::wait(&mut sources).await,
         };
-        if let PollEnd::ProgramEnds = end {
+        if let StopReason::Shutdown = stop_reason {
             return;
         }
     }
 }
 
 impl DiscoveryClient {
-    /// Polls one server until the source changes.
-    async fn poll(&mut self, server: SocketAddr, sources: &mut watch::Receiver<DiscoverySource>) -> PollEnd {
-        let mut buffer = vec![0; MAX_ANSWER_BYTES];
+    /// Polls one server until the source changes or the process shuts down.
+    async fn poll(
+        &mut self,
+        server: SocketAddr,
+        sources: &mut watch::Receiver<DiscoverySource>,
+    ) -> StopReason {
+        let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
         let mut next_query = Instant::now();
-        let mut last_opened = Instant::now();
-        // The latest first.
+        let mut last_socket_opened = Instant::now();
+        // The newest socket first.
         let mut sockets = VecDeque::<UdpSocket>::new();
         loop {
             tokio::select! {
-                end = PollEnd::wait(sources) => return end,
+                stop_reason = StopReason::wait(sources) => return stop_reason,
                 () = sleep_until(next_query) => {
                     let now = Instant::now();
                     next_query = now + POLL_INTERVAL;
-                    let silent_for = now.saturating_duration_since(self.last_answer.max(last_opened));
-                    if sockets.is_empty() || silent_for >= SOCKET_RENEWAL_THRESHOLD {
-                        last_opened = now;
+                    let unanswered_for = now.saturating_duration_since(self.last_answer.max(last_socket_opened));
+                    if sockets.is_empty() || unanswered_for >= SOCKET_RENEWAL_THRESHOLD {
+                        last_socket_opened = now;
                         self.open_socket(server, &mut sockets).await;
                     }
                     self.send_query(&mut sockets).await;
                 }
-                // A socket fails where nothing listens there; another is opened with the next query.
-                ready = readable(&sockets) => match sockets[ready].try_recv(&mut buffer) {
+                // A socket fails if nothing listens at the address; the next query opens another one if none is left.
+                index = wait_readable(&sockets) => match sockets[index].try_recv(&mut buffer) {
                     Ok(size) => self.on_datagram(&buffer[..size]),
                     Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                    Err(_) => _ = sockets.remove(ready),
+                    Err(_) => _ = sockets.remove(index),
                 }
             }
         }
     }
 
-    /// Opens another socket; the oldest beyond the limit is closed.
+    /// Opens another socket, and closes the oldest one if there are too many.
     async fn open_socket(&self, server: SocketAddr, sockets: &mut VecDeque<UdpSocket>) {
-        match open(server).await {
+        match connect(server).await {
             Ok(socket) => sockets.push_front(socket),
             Err(error) => warn!(self.log, "name server socket not opened"; "error" => %error),
         }
         sockets.truncate(MAX_SOCKETS);
     }
 
-    /// Sends the next query on the latest socket.
+    /// Sends the next query on the newest socket.
     async fn send_query(&mut self, sockets: &mut VecDeque<UdpSocket>) {
-        let query = self.next_query();
+        let query = self.encode_next_query();
         if let Some(socket) = sockets.front()
             && socket.send(&query).await.is_err()
         {
@@ -156,42 +157,44 @@
         }
     }
 
-    fn next_query(&mut self) -> Vec<u8> {
-        self.random = self.random.wrapping_mul(LCG_MULTIPLIER).wrapping_add(LCG_INCREMENT);
-        let id = (self.random >> 48) as u16;
-        self.open_queries.truncate(MAX_OPEN_QUERIES - 1);
-        self.open_queries.push_front(id);
-        if !self.is_silent && self.last_answer.elapsed() > SILENCE_LOG_THRESHOLD {
-            self.is_silent = true;
+    fn encode_next_query(&mut self) -> Vec<u8> {
+        self.rng_state = self.rng_state.wrapping_mul(LCG_MULTIPLIER).wrapping_add(LCG_INCREMENT);
+        let id = (self.rng_state >> 48) as u16;
+        self.open_query_ids.truncate(MAX_OPEN_QUERIES - 1);
+        self.open_query_ids.push_front(id);
+        if !self.unresponsive_logged && self.last_answer.elapsed() > UNRESPONSIVE_LOG_THRESHOLD {
+            self.unresponsive_logged = true;
             warn!(self.log, "name server not answering"; "serial" => ?self.registry.serial());
         }
-        dns::query(id, self.wants_large_answers).unwrap_or_default()
+        dns::encode_query(id, self.accepts_large_answers).unwrap_or_default()
     }
 
     fn on_datagram(&mut self, bytes: &[u8]) {
-        match dns::read(bytes, self.open_queries.make_contiguous()) {
+        match dns::parse_answer(bytes, self.open_query_ids.make_contiguous()) {
             Ok(answer) => {
                 self.last_answer = Instant::now();
-                if std::mem::take(&mut self.is_silent) {
+                if std::mem::take(&mut self.unresponsive_logged) {
                     info!(self.log, "name server answering again"; "serial" => answer.serial);
                 }
-                self.registry.take(answer);
+                self.registry.apply_answer(answer);
+            }
+            Err(dns::AnswerError::Truncated) if !self.accepts_large_answers => {
+                self.accepts_large_answers = true
             }
-            Err(dns::BadAnswer::Truncated) if !self.wants_large_answers => self.wants_large_answers = true,
             Err(error) => debug!(self.log, "name server answer rejected"; "error" => %error),
         }
     }
 }
 
-/// The position of a socket that can be read, or has failed.
-async fn readable(sockets: &VecDeque<UdpSocket>) -> usize {
+/// Waits until a socket is readable or has failed; returns its index.
+async fn wait_readable(sockets: &VecDeque<UdpSocket>) -> usize {
     if sockets.is_empty() {
         return std::future::pending().await;
     }
     select_all(sockets.iter().map(|socket| Box::pin(socket.readable()))).await.1
 }
 
-async fn open(server: SocketAddr) -> std::io::Result<UdpSocket> {
+async fn connect(server: SocketAddr) -> std::io::Result<UdpSocket> {
     let socket = UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0)).await?;
     socket.connect(server).await?;
     Ok(socket)
--- a/gateway/src/registry/mod.rs
+++ b/gateway/src/registry/mod.rs
@@ -1,6 +1,6 @@
-//! The endpoint registry: the list of service discovery, with the operators' overrides applied on top. One lock owns both,
-//! with the drain guards, and is never held across a wait, so that an operator's call is answered whatever the broker
-//! does.
+//! The endpoint registry: the endpoint list from service discovery with the operators' overrides applied on top. One
+//! mutex protects both and the drain guards. It is never held across an await, so operators' commands are answered
+//! regardless of the broker's state.
 
 pub mod override_file;
 
@@ -19,20 +19,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Interval at which the override file is checked for overrides that the other process was given. They must be in force
-/// here within 1 s of the operator's call.
+/// Interval at which the override file is checked for overrides that the other process has accepted. They must take
+/// effect here within 1 s of the operator's command.
 const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a call waits for the other process to release the override file.
+/// How long a command waits for the other process to release the lock of the override file.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Why an operator's override was not accepted.
+/// Why an operator's override was rejected.
 #[derive(Debug)]
 pub enum OverrideError {
-    /// No list has ever named this engine.
+    /// No engine with this id has ever been listed.
     UnknownEngine,
-    /// Too many engines are taken out already.
+    /// Too many engines are out of service already.
     TooMany(TooManyOverrides),
-    /// It could not be stored for the next process.
+    /// The override could not be stored for the next process.
     File(OverrideFileError),
 }
 
@@ -59,7 +59,7 @@
 /// An engine's entry with the operators' override applied.
 struct EffectiveEntry {
     entry: EngineEntry,
-    taken_out: bool,
+    is_offline: bool,
 }
 
 #[derive(Debug)]
@@ -72,21 +72,21 @@
 impl Inner {
     fn effective_entry(&self, endpoint: &Endpoint) -> EffectiveEntry {
         let mut entry = endpoint.entry.clone();
-        let applies = |name: &str| self.list.find(name) == Some(entry.engine);
-        let Some((_, timed)) = self.overrides.iter().find(|(name, _)| applies(name)) else {
-            return EffectiveEntry { entry, taken_out: false };
+        let is_for_engine = |name: &str| self.list.find(name) == Some(entry.engine);
+        let Some((_, timed)) = self.overrides.iter().find(|(name, _)| is_for_engine(name)) else {
+            return EffectiveEntry { entry, is_offline: false };
         };
         match timed.value {
             Override::Out if entry.state != EngineState::Removed => entry.state = EngineState::Draining,
             Override::Out => {}
-            // It was restarted meanwhile and is in slow start, whatever the list knows of that.
+            // The engine may have been restarted without a change in the list, so it goes through slow start.
             Override::Returned => entry.started = entry.started.max(Some(Time(timed.at))),
         }
-        EffectiveEntry { entry, taken_out: timed.value == Override::Out }
+        EffectiveEntry { entry, is_offline: timed.value == Override::Out }
     }
 }
 
-/// The owner of the endpoint list; cheap to clone.
+/// Handle to the endpoint list and its overrides; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct EndpointRegistry {
     inner: Arc<Mutex<Inner>>,
@@ -97,8 +97,8 @@
 }
 
 impl EndpointRegistry {
-    /// The owner of this list. Changes are written to `endpoints`; overrides are stored in `override_file`, if there is
-    /// one.
+    /// Creates a registry with this list. Changes are written to `endpoints`; overrides are stored in `override_file`,
+    /// if there is one.
     pub fn new(
         list: EndpointList,
         drain_guards: DrainGuards,
@@ -108,9 +108,9 @@
         log: Logger,
     ) -> Self {
         let overrides = override_file.as_ref().map(|file| file.read(&log)).unwrap_or_default();
-        let taken_out = overrides.iter().filter(|(_, timed)| timed.value == Override::Out).count();
-        if taken_out > 0 {
-            info!(log, "engines out of service by stored overrides"; "engines" => taken_out);
+        let offline = overrides.iter().filter(|(_, timed)| timed.value == Override::Out).count();
+        if offline > 0 {
+            info!(log, "engines out of service by stored overrides"; "engines" => offline);
         }
         let inner = Arc::new(Mutex::new(Inner { list, drain_guards, overrides }));
         Self { inner, endpoints, metrics, override_file: override_file.map(Arc::new), log }
@@ -120,49 +120,50 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Serial of the last change of the list.
+    /// Serial of the last complete update of the list.
     pub fn serial(&self) -> Option<u32> {
         self.inner().list.serial()
     }
 
-    /// Calls `visit` for each listed engine with its name, its id in this process, and when it started.
+    /// Calls `visit` with the name, the id in this process and the start time of each listed engine.
     pub fn for_each_engine(&self, mut visit: impl FnMut(&str, EngineId, Option<Time>)) {
         let inner = self.inner();
-        for (name, endpoint) in inner.list.named() {
+        for (name, endpoint) in inner.list.named_endpoints() {
             visit(name, endpoint.entry.engine, endpoint.entry.started);
         }
     }
 
-    /// Takes in the events of the configuration. Returns how many engines they name.
+    /// Applies the events of the configuration. Returns the number of changed engines.
     ///
     /// # Errors
-    /// Where they are not of the expected form.
-    pub fn start(&self, known: &serde_json::Value) -> Result<usize, serde_json::Error> {
+    /// If the events can't be deserialised.
+    pub fn apply_events(&self, events: &serde_json::Value) -> Result<usize, serde_json::Error> {
         let mut inner = self.inner();
-        let changes = inner.list.start(known)?;
+        let changes = inner.list.apply_events(events)?;
         Ok(self.publish(&mut inner, changes))
     }
 
-    /// Takes in the events of a new configuration, if they are later. Returns how many engines have changed.
+    /// Applies the events of a new configuration if they are newer than the list. Returns the number of changed
+    /// engines.
     ///
     /// # Errors
-    /// Where they are not of the expected form.
-    pub fn refresh(&self, known: &serde_json::Value) -> Result<usize, serde_json::Error> {
+    /// If the events can't be deserialised.
+    pub fn apply_newer_events(&self, events: &serde_json::Value) -> Result<usize, serde_json::Error> {
         let mut inner = self.inner();
-        let changes = inner.list.refresh(known)?;
+        let changes = inner.list.apply_newer_events(events)?;
         Ok(self.publish(&mut inner, changes))
     }
 
-    /// Takes in an answer of the name server. Returns how many engines have changed.
-    pub fn take(&self, answer: dns::Answer) -> usize {
+    /// Applies an answer of the name server. Returns the number of changed engines.
+    pub fn apply_answer(&self, answer: dns::Answer) -> usize {
         let mut inner = self.inner();
-        let changes = inner.list.take(answer);
+        let changes = inner.list.apply_answer(answer);
         let changed = self.publish(&mut inner, changes);
         self.endpoints.set_discovery_answered();
         changed
     }
 
-    /// Opens and closes drain guards immediately; the broker reads the changes from its mailbox later.
+    /// Updates the drain guards immediately and writes the changes to the broker's mailbox, which is read later.
     fn publish(&self, inner: &mut Inner, changes: Vec<Endpoint>) -> usize {
         if changes.is_empty() {
             return 0;
@@ -171,24 +172,24 @@
         info!(self.log, "endpoint list changed"; "serial" => ?inner.list.serial(), "changed" => ?changes);
         let mut updates = Vec::with_capacity(count);
         for endpoint in changes {
-            let EffectiveEntry { entry, taken_out } = inner.effective_entry(&endpoint);
-            let drain_guard = inner.drain_guards.update(&entry, taken_out, now);
+            let EffectiveEntry { entry, is_offline } = inner.effective_entry(&endpoint);
+            let drain_guard = inner.drain_guards.update(&entry, is_offline, now);
             updates.push(EndpointUpdate { endpoint: Endpoint { entry, ..endpoint }, drain_guard });
         }
-        self.metrics.set_members(inner.list.listed().count());
+        self.metrics.set_members(inner.list.endpoints().count());
         self.endpoints.write(updates);
         count
     }
 
-    /// Publishes these engines again, with their overrides.
+    /// Publishes these engines again with their current overrides applied.
     fn publish_engines(&self, inner: &mut Inner, names: &[String]) {
         let ids: Vec<EngineId> = names.iter().filter_map(|name| inner.list.find(name)).collect();
-        let is_named = |endpoint: &&Endpoint| ids.contains(&endpoint.entry.engine);
-        let endpoints: Vec<_> = inner.list.listed().filter(is_named).cloned().collect();
+        let is_selected = |endpoint: &&Endpoint| ids.contains(&endpoint.entry.engine);
+        let endpoints: Vec<_> = inner.list.endpoints().filter(is_selected).cloned().collect();
         self.publish(inner, endpoints);
     }
 
-    /// Takes over the overrides that the other process was given.
+    /// Merges the overrides that the other process has stored, and publishes the engines that they change.
     fn merge_overrides(&self, inner: &mut Inner, stored: &Overrides) {
         let changed = inner.overrides.merge(stored);
         if !changed.is_empty() {
@@ -197,14 +198,14 @@
         self.publish_engines(inner, &changed);
     }
 
-    /// Sets an operator's override of an engine. It is stored, and in force here, before this returns.
+    /// Sets an operator's override for an engine. On return it is stored and in effect in this process.
     ///
     /// # Errors
-    /// Where it is rejected; nothing has changed then.
+    /// If the override is rejected; it has no effect then.
     pub async fn set_override(&self, engine: &str, value: Override) -> Result<(), OverrideError> {
         let deadline = Instant::now() + LOCK_TIMEOUT;
-        // While the lock is held, neither the other process nor another call here writes the file.
-        let locked = match &self.override_file {
+        // The lock excludes writes by the other process and by other commands in this one.
+        let file_lock = match &self.override_file {
             Some(file) => Some(file.lock(deadline).await.map_err(OverrideError::File)?),
             None => None,
         };
@@ -223,11 +224,11 @@
             inner.overrides = overrides;
             self.publish_engines(&mut inner, &[engine.to_owned()]);
         }
-        drop(locked);
+        drop(file_lock);
         Ok(())
     }
 
-    /// Checks the override file for as long as the program runs.
+    /// Checks the override file periodically; returns only if there is none.
     pub async fn watch_override_file(self) {
         if self.override_file.is_none() {
             return;
@@ -241,7 +242,7 @@
         }
     }
 
-    /// Takes over what has been stored since the file was last read.
+    /// Reloads the override file if it has changed since it was last read.
     pub fn reload_overrides(&self) {
         let Some(file) = self.override_file.as_ref().filter(|file| file.has_changed()) else { return };
         let stored = file.read(&self.log);
--- a/gateway/src/registry/override_file.rs
+++ b/gateway/src/registry/override_file.rs
@@ -1,5 +1,5 @@
-//! The file that stores the operators' overrides beyond the process. It is written to a temporary file and renamed; a
-//! lock that the kernel releases with its process excludes a second writer.
+//! The file that keeps the operators' overrides across restarts. It is replaced atomically by renaming a temporary
+//! file. A lock file, whose lock the kernel releases when its process ends, excludes a second writer.
 
 use crate::lock::Locked;
 use reedwalk_operations::{MAX_RECORD_BYTES, OverrideRecordError, Overrides, read, write};
@@ -12,15 +12,15 @@
 use std::time::{Duration, SystemTime};
 use tokio::time::{Instant, sleep_until};
 
-/// How often a lock that another process holds is tried again.
+/// Interval between attempts to take a lock that another process holds.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Why overrides could not be stored.
 #[derive(Debug)]
 pub enum OverrideFileError {
-    /// The other process did not release the lock in time.
+    /// Another process held the lock until the deadline.
     Busy,
-    /// An operation on the files failed.
+    /// A file operation failed.
     Io(std::io::Error),
 }
 
@@ -48,22 +48,22 @@
     }
 }
 
-/// Time and size of the file, by which a change is noticed.
+/// Modification time and size of the file, used to detect changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Stamp {
+struct FileVersion {
     modified: SystemTime,
     length: u64,
 }
 
-/// What is known of the file since it was last read.
+/// The file as it was last read.
 #[derive(Debug, Default)]
 struct LastRead {
-    stamp: Option<Stamp>,
-    /// The file was damaged, and that has been logged.
+    version: Option<FileVersion>,
+    /// The file could not be loaded, and that has been logged.
     error_logged: bool,
 }
 
-/// Where the overrides are stored.
+/// The override file, with its temporary file and its lock file.
 #[derive(Debug)]
 pub struct OverrideFile {
     path: PathBuf,
@@ -73,9 +73,9 @@
 }
 
 impl OverrideFile {
-    /// Files in this folder whose names begin with `stem`.
+    /// Uses files in this folder whose names begin with `stem`.
     pub fn new(folder: &Path, stem: &str) -> Self {
-        let file = |end: &str| folder.join(format!("{stem}.{end}"));
+        let file = |extension: &str| folder.join(format!("{stem}.{extension}"));
         Self {
             path: file("words"),
             temporary_path: file("words-new"),
@@ -84,24 +84,24 @@
         }
     }
 
-    /// Takes the lock, until `deadline` at the latest.
+    /// Takes the lock; waits for it until `deadline`.
     ///
     /// # Errors
-    /// Where another process holds it for too long, or the lock file can't be created.
+    /// If another process holds the lock until `deadline`, or the lock file can't be created.
     pub async fn lock(&self, deadline: Instant) -> Result<Locked, OverrideFileError> {
         loop {
             match Locked::take(&self.lock_path)? {
-                Some(locked) => return Ok(locked),
+                Some(file_lock) => return Ok(file_lock),
                 None if Instant::now() >= deadline => return Err(OverrideFileError::Busy),
                 None => sleep_until(Instant::now() + LOCK_RETRY_INTERVAL).await,
             }
         }
     }
 
-    /// Writes the overrides as a whole or not at all.
+    /// Replaces the stored overrides atomically.
     ///
     /// # Errors
-    /// Where an operation on the files fails; the old file stays.
+    /// If a file operation fails; the previous file is kept.
     pub fn write(&self, overrides: &Overrides) -> Result<(), OverrideFileError> {
         let mut file = File::create(&self.temporary_path)?;
         file.write_all(&write(overrides))?;
@@ -113,22 +113,23 @@
 
     /// Whether the file has changed since it was last read.
     pub fn has_changed(&self) -> bool {
-        self.stamp() != self.last_read().stamp
+        self.version() != self.last_read().version
     }
 
-    /// The stored overrides; none if there is no file. A damaged file is logged once, and counts as none.
+    /// Reads the stored overrides; a missing file counts as empty. A file that can't be loaded is logged once and also
+    /// counts as empty.
     pub fn read(&self, log: &Logger) -> Overrides {
-        let stamp = self.stamp();
+        let version = self.version();
         match self.load() {
             Ok(overrides) => {
-                *self.last_read() = LastRead { stamp, error_logged: false };
+                *self.last_read() = LastRead { version, error_logged: false };
                 overrides
             }
             Err(error) => {
                 let mut last_read = self.last_read();
-                let was_logged = std::mem::replace(&mut *last_read, LastRead { stamp, error_logged: true });
+                let previous = std::mem::replace(&mut *last_read, LastRead { version, error_logged: true });
                 drop(last_read);
-                if !was_logged.error_logged {
+                if !previous.error_logged {
                     let file = self.path.display().to_string();
                     error!(log, "override file ignored"; "file" => file, "error" => %error);
                 }
@@ -147,9 +148,9 @@
         read(&bytes).map_err(LoadError::Record)
     }
 
-    fn stamp(&self) -> Option<Stamp> {
+    fn version(&self) -> Option<FileVersion> {
         let metadata = std::fs::metadata(&self.path).ok()?;
-        Some(Stamp { modified: metadata.modified().ok()?, length: metadata.len() })
+        Some(FileVersion { modified: metadata.modified().ok()?, length: metadata.len() })
     }
 
     fn last_read(&self) -> MutexGuard<'_, LastRead> {
--- a/gateway/src/serve/assembly.rs
+++ b/gateway/src/serve/assembly.rs
@@ -55,7 +55,12 @@
     let broker = Broker::new(scheduler, transport, &base.deployment, options, context, events, broker_log);
     let broker_ended = base.start_broker(broker, received);
     let lost_cores = base.watch_cores();
-    tokio::spawn(discovery::watch(sources, registry, base.config.seed, base.log_of("discovery")));
+    tokio::spawn(discovery::poll_endpoint_list(
+        sources,
+        registry,
+        base.config.seed,
+        base.log_of("discovery"),
+    ));
     let fronts = base.start_fronts(quotas, &processes).await?;
     base.health.set_serving(true);
     processes.stage.send_replace(ProcessStage::Serving);
--- a/gateway/src/serve/subsystems.rs
+++ b/gateway/src/serve/subsystems.rs
@@ -96,7 +96,7 @@
         let (metrics, log) = (self.metrics.clone(), self.log_of("registry"));
         let registry = EndpointRegistry::new(list, drain_guards, endpoints, metrics, overrides, log);
         if let Some(known) = &self.config.known {
-            let engines = registry.start(known).map_err(ServeError::Known)?;
+            let engines = registry.apply_events(known).map_err(ServeError::Known)?;
             let serial = registry.serial();
             info!(self.log, "endpoint list of the configuration read"; "gateway" => &self.config.name,
                 "engines" => engines, "serial" => ?serial);
--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -3,9 +3,9 @@
 mod support;
 
 use hickory_proto::op::ResponseCode;
-use reedwalk_gateway::discovery::dns::{BadAnswer, query, read};
+use reedwalk_gateway::discovery::dns::{AnswerError, encode_query, parse_answer};
 use reedwalk_gateway::discovery::endpoint_list::EndpointList;
-use reedwalk_gateway::discovery::{DiscoverySource, watch};
+use reedwalk_gateway::discovery::{DiscoverySource, poll_endpoint_list};
 use reedwalk_gateway::drain_guard::DrainGuards;
 use reedwalk_gateway::message::{Endpoint, EndpointMailbox};
 use reedwalk_gateway::metrics::Metrics;
@@ -31,13 +31,13 @@
 
 /// Applies an answer with this serial and these engines; the changes to the list.
 fn apply(list: &mut EndpointList, serial: u32, engines: &[ListedEngine]) -> Vec<Endpoint> {
-    list.take(read(&answer(7, serial, engines).to_vec().unwrap(), &[7]).unwrap())
+    list.apply_answer(parse_answer(&answer(7, serial, engines).to_vec().unwrap(), &[7]).unwrap())
 }
 
 #[test]
 fn answers_apply_by_serial_and_absent_engines_are_removed() {
     let mut list = empty_list();
-    let first = list.start(&support::initial_endpoints(&["10.1.0.1:8080".parse().unwrap()])).unwrap();
+    let first = list.apply_events(&support::initial_endpoints(&["10.1.0.1:8080".parse().unwrap()])).unwrap();
     // The same engine, listed again, keeps its id; the second one is new.
     let changes = apply(&mut list, 2, &[engine("s-0", 1), engine("s-1", 2)]);
     assert!(changes.iter().any(|c| c.address.ip().to_string() == "10.1.0.2"));
@@ -75,12 +75,12 @@
 #[test]
 fn older_configuration_does_not_override_answers() {
     let mut list = empty_list();
-    list.start(&support::initial_endpoints(&["10.1.0.1:8080".parse().unwrap()])).unwrap();
+    list.apply_events(&support::initial_endpoints(&["10.1.0.1:8080".parse().unwrap()])).unwrap();
     apply(&mut list, 2, &[engine("s-0", 1), engine("s-9", 2)]);
     let mut known = support::initial_endpoints(&["10.1.0.1:8080".parse().unwrap()]);
-    assert!(list.refresh(&known).unwrap().is_empty());
+    assert!(list.apply_newer_events(&known).unwrap().is_empty());
     known["seq"] = 3.into();
-    let changes = list.refresh(&known).unwrap();
+    let changes = list.apply_newer_events(&known).unwrap();
     assert_eq!(changes.iter().map(|c| c.entry.state).collect::<Vec<_>>(), [EngineState::Removed]);
     assert_eq!(list.serial(), Some(3));
 }
@@ -91,11 +91,11 @@
     apply(&mut list, 1, &[engine("s-0", 1), engine("s-1", 2)]);
     let mut incomplete = answer(7, 2, &[engine("s-0", 1), engine("s-1", 2)]);
     incomplete.additionals.clear();
-    assert!(list.take(read(&incomplete.to_vec().unwrap(), &[7]).unwrap()).is_empty());
+    assert!(list.apply_answer(parse_answer(&incomplete.to_vec().unwrap(), &[7]).unwrap()).is_empty());
     // An unknown engine without an address is pending: the same serial applies again when the address arrives.
     let mut incomplete = answer(7, 3, &[engine("s-0", 1), engine("s-1", 2), engine("s-2", 3)]);
     incomplete.additionals.clear();
-    assert!(list.take(read(&incomplete.to_vec().unwrap(), &[7]).unwrap()).is_empty());
+    assert!(list.apply_answer(parse_answer(&incomplete.to_vec().unwrap(), &[7]).unwrap()).is_empty());
     assert_eq!(apply(&mut list, 3, &[engine("s-0", 1), engine("s-1", 2), engine("s-2", 3)]).len(), 1);
 }
 
@@ -105,7 +105,11 @@
     apply(&mut list, 1, &[engine("s-0", 1), engine("s-1", 2)]);
     let mut incomplete = answer(7, 3, &[engine("s-0", 1), engine("s-2", 3)]);
     incomplete.additionals.clear();
-    assert_eq!(list.take(read(&incomplete.to_vec().unwrap(), &[7]).unwrap()).len(), 1, "s-1 is removed");
+    assert_eq!(
+        list.apply_answer(parse_answer(&incomplete.to_vec().unwrap(), &[7]).unwrap()).len(),
+        1,
+        "s-1 is removed"
+    );
     assert!(apply(&mut list, 2, &[engine("s-0", 1), engine("s-1", 2)]).is_empty(), "s-1 was listed again");
     assert_eq!(apply(&mut list, 3, &[engine("s-0", 1), engine("s-2", 3)]).len(), 1);
 }
@@ -120,35 +124,35 @@
         numbers.extend(changes.iter().map(|c| c.entry.engine));
     }
     assert_eq!(numbers.len(), 401, "two engines had one number");
-    assert!(list.remembered() < 100, "{}", list.remembered());
+    assert!(list.known_names() < 100, "{}", list.known_names());
 }
 
 #[test]
 fn malformed_answers_are_rejected() {
     let valid = || answer(7, 2, &[engine("s-0", 1)]);
-    let error = |m: hickory_proto::op::Message| read(&m.to_vec().unwrap(), &[7]).unwrap_err();
+    let error = |m: hickory_proto::op::Message| parse_answer(&m.to_vec().unwrap(), &[7]).unwrap_err();
     let mut message = valid();
     message.metadata.truncation = true;
-    assert_eq!(error(message), BadAnswer::Truncated);
+    assert_eq!(error(message), AnswerError::Truncated);
     let mut message = valid();
     message.metadata.response_code = ResponseCode::ServFail;
-    assert_eq!(error(message), BadAnswer::Code(2));
+    assert_eq!(error(message), AnswerError::ErrorCode(2));
     let mut message = valid();
     message.metadata.id = 8;
-    assert_eq!(error(message), BadAnswer::NotOurs);
+    assert_eq!(error(message), AnswerError::QueryMismatch);
     // An id between those of two queries is foreign too.
-    let between = read(&valid().to_vec().unwrap(), &[8, 6]);
-    assert_eq!(between, Err(BadAnswer::NotOurs));
-    assert!(read(&valid().to_vec().unwrap(), &[9, 7]).is_ok());
+    let between = parse_answer(&valid().to_vec().unwrap(), &[8, 6]);
+    assert_eq!(between, Err(AnswerError::QueryMismatch));
+    assert!(parse_answer(&valid().to_vec().unwrap(), &[9, 7]).is_ok());
     let mut message = valid();
     message.authorities.clear();
-    assert_eq!(error(message), BadAnswer::NoSerial);
+    assert_eq!(error(message), AnswerError::MissingSerial);
     let complete = valid().to_vec().unwrap();
     // Every truncation is an error: no truncated answer empties the list.
     for size in 0..complete.len() {
-        assert!(read(&complete[..size], &[7]).is_err(), "{size} of {} bytes", complete.len());
+        assert!(parse_answer(&complete[..size], &[7]).is_err(), "{size} of {} bytes", complete.len());
     }
-    assert_eq!(read(&query(7, true).unwrap(), &[7]), Err(BadAnswer::NotOurs));
+    assert_eq!(parse_answer(&encode_query(7, true).unwrap(), &[7]), Err(AnswerError::QueryMismatch));
 }
 
 /// A list that is updated from this source.
@@ -159,7 +163,7 @@
     let drain_guards = DrainGuards::new(Duration::from_secs(2));
     let registry =
         EndpointRegistry::new(empty_list(), drain_guards, endpoints.clone(), metrics, None, log.clone());
-    tokio::spawn(watch(sources, registry, 7, log));
+    tokio::spawn(poll_endpoint_list(sources, registry, 7, log));
     (source, endpoints)
 }
 
@@ -180,7 +184,7 @@
 async fn answer_after_the_next_query_is_accepted() {
     // The poll interval is 250 ms, and each answer is 600 ms late.
     let server = start_delayed_server(vec![engine("s-0", 1)], Duration::from_millis(600)).await;
-    let (_source, endpoints) = watched(DiscoverySource { server: Some(server), known: None });
+    let (_source, endpoints) = watched(DiscoverySource { server: Some(server), events: None });
     assert_eq!(next_changes(&endpoints).await.len(), 1);
 }
 
@@ -188,7 +192,7 @@
 async fn unresponsive_discovery_socket_is_replaced() {
     let list = endpoint_list(1, vec![engine("s-0", 1)]);
     let (server, unanswered) = start_unresponsive_server(list.clone(), 1).await;
-    let (_source, endpoints) = watched(DiscoverySource { server: Some(server), known: None });
+    let (_source, endpoints) = watched(DiscoverySource { server: Some(server), events: None });
     assert_eq!(next_changes(&endpoints).await.len(), 1);
     *list.lock().unwrap() = (2, vec![engine("s-0", 1), engine("s-1", 2)]);
     assert_eq!(next_changes(&endpoints).await.len(), 1, "the second engine");
@@ -200,9 +204,9 @@
     let list = endpoint_list(1, vec![engine("s-0", 1)]);
     let (old, _) = start_server(list.clone()).await;
     let (new, unanswered) = start_unresponsive_server(list.clone(), 0).await;
-    let (source, endpoints) = watched(DiscoverySource { server: Some(old), known: None });
+    let (source, endpoints) = watched(DiscoverySource { server: Some(old), events: None });
     assert_eq!(next_changes(&endpoints).await.len(), 1);
-    source.send(DiscoverySource { server: Some(new), known: None }).unwrap();
+    source.send(DiscoverySource { server: Some(new), events: None }).unwrap();
     until("the new server is polled", || *unanswered.lock().unwrap() > 0).await;
     // The old server is polled no more, and none of its answers applies.
     *list.lock().unwrap() = (2, vec![engine("s-0", 1), engine("s-1", 2)]);
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -86,7 +86,7 @@
         let _ = (read_login(bytes.clone()), read_command(bytes.clone()), take_fields(&bytes));
         let _ = (table_group(&bytes), kill_query(&bytes), read_page(&bytes, &mut Rows::default()));
         let id = garbage.first_chunk().map_or(0, |id| u16::from_be_bytes(*id));
-        let _ = reedwalk_gateway::discovery::dns::read(&garbage, &[id]);
+        let _ = reedwalk_gateway::discovery::dns::parse_answer(&garbage, &[id]);
         let _ = timeout(&String::from_utf8_lossy(&garbage));
     }
 
--- a/gateway/tests/registry.rs
+++ b/gateway/tests/registry.rs
@@ -84,7 +84,7 @@
             override_file,
             discard_log(),
         );
-        registry.start(&list.known()).unwrap();
+        registry.apply_events(&list.known()).unwrap();
         Self { registry, endpoints, known: HashMap::new() }
     }
 
@@ -118,7 +118,7 @@
         let started = if restarted { u64::from(self.list.seq) } else { self.list.engines[&engine].1 };
         self.list.engines.insert(engine, (state, started));
         for process in &mut self.processes {
-            process.registry.refresh(&self.list.known()).unwrap();
+            process.registry.apply_newer_events(&self.list.known()).unwrap();
         }
     }
 
