--- a/gateway/src/cli.rs
+++ b/gateway/src/cli.rs
@@ -255,7 +255,7 @@
     let address = words.next().and_then(|address| address.parse().ok());
     let address = address.ok_or(ArgumentError::NoConsoleAddress)?;
     let line = words.collect::<Vec<_>>().join(" ");
-    let answer = runtime()?.block_on(console::call(address, &line, Instant::now() + CONSOLE_TIMEOUT));
+    let answer = runtime()?.block_on(console::send_command(address, &line, Instant::now() + CONSOLE_TIMEOUT));
     let answer = answer.map_err(|error| CliError::Call(address, error))?;
     print!("{answer}");
     if answer.starts_with(console::FAILURE) { Err(CliError::CallRefused) } else { Ok(()) }
--- a/gateway/src/console/line.rs
+++ b/gateway/src/console/line.rs
@@ -1,102 +1,103 @@
-//! The commands of the admin interface: one line each. Pure functions over bytes.
+//! Parses the commands of the admin interface, one per line. Pure functions without I/O.
 
 use std::fmt;
 
-/// Bytes of a line at most, without its end.
+/// Maximum length of a line, without its terminator.
 pub const MAX_LINE_BYTES: usize = 256;
 
-/// A command.
+/// A command of the admin interface.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Report whether this process accepts clients.
+    /// Reports whether this process accepts clients.
     Health,
-    /// Report the metrics.
+    /// Reports the metrics.
     Dump,
-    /// Take an engine out of service.
+    /// Takes the engine with this id out of service.
     Offline(String),
-    /// Put an engine back into service.
+    /// Returns the engine with this id to service.
     Online(String),
 }
 
-/// Why a line is not a command.
+/// Why a line is not a valid command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadLine {
-    /// Nothing but white space.
+pub enum CommandParseError {
+    /// The line is empty or contains only spaces.
     Empty,
-    /// More than [`MAX_LINE_BYTES`] bytes.
+    /// The line is longer than [`MAX_LINE_BYTES`].
     TooLong,
-    /// Not UTF-8.
-    NotText,
-    /// A control character within the line.
-    Control,
+    /// The line is not valid UTF-8.
+    InvalidUtf8,
+    /// The line contains a control character.
+    ControlCharacter,
     /// There is no such command.
-    Unknown,
-    /// The command needs an engine, and none was given.
-    NoId,
-    /// More words than the command has.
-    Surplus,
-    /// The connection ended before the line did.
-    Cut,
+    UnknownCommand,
+    /// The command requires an engine id, and none was given.
+    MissingEngineId,
+    /// There are more arguments than the command takes.
+    ExtraArguments,
+    /// The connection was closed before the line was complete.
+    Incomplete,
 }
 
-impl fmt::Display for BadLine {
+impl fmt::Display for CommandParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Empty => "the line is empty",
             Self::TooLong => "the line is longer than 256 bytes",
-            Self::NotText => "the line is not UTF-8",
-            Self::Control => "the line contains a control character",
-            Self::Unknown => "unknown command; expected HEALTH, DUMP, OFFLINE ID or ONLINE ID",
-            Self::NoId => "the command needs the id of an engine",
-            Self::Surplus => "the command has too many words",
-            Self::Cut => "the connection ended before the line did",
+            Self::InvalidUtf8 => "the line is not valid UTF-8",
+            Self::ControlCharacter => "the line contains a control character",
+            Self::UnknownCommand => "unknown command; expected HEALTH, DUMP, OFFLINE ID or ONLINE ID",
+            Self::MissingEngineId => "the command requires an engine id",
+            Self::ExtraArguments => "too many arguments",
+            Self::Incomplete => "the connection was closed before the line was complete",
         })
     }
 }
 
-impl std::error::Error for BadLine {}
+impl std::error::Error for CommandParseError {}
 
-/// The first line of `bytes` without its end (LF, or CR LF as the operators' tools send it); `None` until it is whole.
+/// Returns the first line of `bytes` without its terminator (LF, or CR LF as the operators' tools send it); `None`
+/// until the line is complete.
 ///
 /// # Errors
-/// Where it is too long.
-pub fn whole_line(bytes: &[u8]) -> Result<Option<&[u8]>, BadLine> {
-    match bytes.iter().take(MAX_LINE_BYTES + 2).position(|b| *b == b'\n') {
+/// If the line is too long.
+pub fn complete_line(bytes: &[u8]) -> Result<Option<&[u8]>, CommandParseError> {
+    match bytes.iter().take(MAX_LINE_BYTES + 2).position(|byte| *byte == b'\n') {
         Some(end) => {
             let line = &bytes[..end];
             let line = line.strip_suffix(b"\r").unwrap_or(line);
-            if line.len() > MAX_LINE_BYTES { Err(BadLine::TooLong) } else { Ok(Some(line)) }
+            if line.len() > MAX_LINE_BYTES { Err(CommandParseError::TooLong) } else { Ok(Some(line)) }
         }
-        None if bytes.len() > MAX_LINE_BYTES + 1 => Err(BadLine::TooLong),
+        None if bytes.len() > MAX_LINE_BYTES + 1 => Err(CommandParseError::TooLong),
         None => Ok(None),
     }
 }
 
-/// Reads a command from a line without its end.
+/// Parses a command from a line without its terminator.
 ///
 /// # Errors
-/// Why it is not a command.
-pub fn read_command(line: &[u8]) -> Result<Command, BadLine> {
+/// If the line is not a valid command.
+pub fn parse_command(line: &[u8]) -> Result<Command, CommandParseError> {
     if line.len() > MAX_LINE_BYTES {
-        return Err(BadLine::TooLong);
+        return Err(CommandParseError::TooLong);
     }
-    let text = std::str::from_utf8(line).map_err(|_| BadLine::NotText)?;
+    let text = std::str::from_utf8(line).map_err(|_| CommandParseError::InvalidUtf8)?;
     if text.chars().any(char::is_control) {
-        return Err(BadLine::Control);
+        return Err(CommandParseError::ControlCharacter);
     }
-    let mut words = text.split(' ').filter(|w| !w.is_empty());
-    let (call, id) = (words.next().ok_or(BadLine::Empty)?, words.next().map(str::to_owned));
-    let named = matches!(call, "OFFLINE" | "ONLINE");
-    if words.next().is_some() || id.is_some() && matches!(call, "HEALTH" | "DUMP") {
-        return Err(BadLine::Surplus);
+    let mut words = text.split(' ').filter(|word| !word.is_empty());
+    let (command, id) = (words.next().ok_or(CommandParseError::Empty)?, words.next().map(str::to_owned));
+    let takes_engine_id = matches!(command, "OFFLINE" | "ONLINE");
+    if words.next().is_some() || id.is_some() && matches!(command, "HEALTH" | "DUMP") {
+        return Err(CommandParseError::ExtraArguments);
     }
-    match (call, id) {
+    match (command, id) {
         ("HEALTH", None) => Ok(Command::Health),
         ("DUMP", None) => Ok(Command::Dump),
         ("OFFLINE", Some(id)) => Ok(Command::Offline(id)),
         ("ONLINE", Some(id)) => Ok(Command::Online(id)),
-        _ if named => Err(BadLine::NoId),
-        _ => Err(BadLine::Unknown),
+        _ if takes_engine_id => Err(CommandParseError::MissingEngineId),
+        _ => Err(CommandParseError::UnknownCommand),
     }
 }
 
--- a/gateway/src/console/mod.rs
+++ b/gateway/src/console/mod.rs
@@ -1,5 +1,5 @@
-//! The admin interface: each connection carries one command and gets one answer. Nothing here waits for the broker:
-//! health is a flag, metrics are atomics, and the endpoint list is behind a lock that is never held for long.
+//! The admin interface: each connection carries one command and receives one answer. No command waits for the broker:
+//! health is a flag, metrics are atomics, and the endpoint list is behind a mutex that is only held briefly.
 
 pub mod line;
 
@@ -8,7 +8,7 @@
 use crate::metrics::Metrics;
 use crate::registry::{EndpointRegistry, OverrideError};
 use bytes::BytesMut;
-use line::{BadLine, Command};
+use line::{Command, CommandParseError};
 use reedwalk_operations::Override;
 use slog::{Logger, info};
 use std::collections::VecDeque;
@@ -21,33 +21,33 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Connections that have not sent a whole line, and as many whose command is being answered. They take no descriptors
-/// from clients or engines.
+/// Maximum number of idle connections, and maximum number of connections whose command is being answered. The limit
+/// keeps file descriptors available for clients and engines.
 pub const MAX_CONNECTIONS: usize = 16;
-/// A connection is closed this long after it was accepted, whatever its state.
+/// Time after its acceptance at which a connection is closed, whatever its state.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a connection that has its answer may take to close.
+/// How long unread input is discarded after the answer before the connection is closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Bytes of an answer that [`call`] reads at most.
+/// Maximum length of an answer that [`send_command`] reads.
 const MAX_ANSWER_BYTES: u64 = 1 << 20;
-/// The answer to a command that succeeded and returns nothing else.
+/// The answer to a successful command without other output.
 const SUCCESS_LINE: &str = "SUCCESS\n";
-/// The last line of each answer to DUMP.
+/// The last line of every answer to DUMP.
 const DUMP_END: &str = "EOT";
 
-/// The first word of an answer to a command that failed.
+/// The first word of the answer to a failed command.
 pub const FAILURE: &str = "FAILURE";
 
-/// Why a command failed: the text behind [`FAILURE`].
+/// Why a command failed; sent after [`FAILURE`].
 #[derive(Debug)]
 pub enum CommandError {
     /// This process is starting or shutting down.
     NotServing,
     /// [`MAX_CONNECTIONS`] commands are being answered already.
     TooManyCommands,
-    /// The line is not a command.
-    BadLine(BadLine),
-    /// The override was not accepted.
+    /// The line is not a valid command.
+    Parse(CommandParseError),
+    /// The override was rejected.
     Override(OverrideError),
 }
 
@@ -56,7 +56,7 @@
         match self {
             Self::NotServing => write!(f, "this process does not accept clients"),
             Self::TooManyCommands => write!(f, "too many commands are being answered"),
-            Self::BadLine(error) => write!(f, "{error}"),
+            Self::Parse(error) => write!(f, "{error}"),
             Self::Override(error) => write!(f, "{error}"),
         }
     }
@@ -66,25 +66,25 @@
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
             Self::NotServing | Self::TooManyCommands => None,
-            Self::BadLine(error) => Some(error),
+            Self::Parse(error) => Some(error),
             Self::Override(error) => Some(error),
         }
     }
 }
 
-/// Sends one line to an admin interface and returns its answer.
+/// Sends one command line to an admin interface and returns the answer.
 ///
 /// # Errors
-/// Where it can't be reached, or does not answer by `deadline`.
-pub async fn call(address: SocketAddr, line: &str, deadline: Instant) -> std::io::Result<String> {
-    let called = async {
+/// If the interface can't be reached, or does not answer by `deadline`.
+pub async fn send_command(address: SocketAddr, line: &str, deadline: Instant) -> std::io::Result<String> {
+    let exchange = async {
         let mut stream = TcpStream::connect(address).await?;
         stream.write_all(format!("{line}\n").as_bytes()).await?;
         let mut answer = String::new();
         stream.take(MAX_ANSWER_BYTES).read_to_string(&mut answer).await?;
         std::io::Result::Ok(answer)
     };
-    let answer = timeout_at(deadline, called).await??;
+    let answer = timeout_at(deadline, exchange).await??;
     if answer.is_empty() { Err(std::io::ErrorKind::UnexpectedEof.into()) } else { Ok(answer) }
 }
 
@@ -98,27 +98,27 @@
     log: Logger,
 }
 
-/// The open connections. One that waits for nothing from this process, before its line is whole or after its answer, may
-/// be evicted.
+/// The open connections. An idle connection, which has not sent a complete line or has received its answer, may be
+/// evicted.
 #[derive(Debug, Default)]
 struct Connections {
     last_id: u64,
-    /// Those that may be evicted, the oldest first. Dropping the sender evicts a connection.
+    /// Connections that may be evicted, the oldest first. Dropping the sender evicts the connection.
     idle: VecDeque<(u64, oneshot::Sender<()>)>,
-    /// Those whose command is being answered.
+    /// Connections whose command is being answered.
     answering: Vec<(u64, oneshot::Sender<()>)>,
 }
 
 impl Connections {
-    /// Adds a new connection; returns its id, and a receiver that ends when it is evicted.
+    /// Adds a new connection. Returns its id and a receiver that completes when the connection is evicted.
     fn insert(&mut self) -> (u64, oneshot::Receiver<()>) {
-        let (keep, evicted) = oneshot::channel();
+        let (eviction_guard, evicted) = oneshot::channel();
         self.last_id += 1;
-        self.insert_idle((self.last_id, keep));
+        self.insert_idle((self.last_id, eviction_guard));
         (self.last_id, evicted)
     }
 
-    /// Adds an idle connection, and evicts the oldest one if there are too many.
+    /// Adds an idle connection, and evicts the oldest idle one if there are too many.
     fn insert_idle(&mut self, connection: (u64, oneshot::Sender<()>)) {
         if self.idle.len() >= MAX_CONNECTIONS {
             self.idle.pop_front();
@@ -126,7 +126,8 @@
         self.idle.push_back(connection);
     }
 
-    /// Its line is whole: it stays until it has its answer; returns false if too many are being answered.
+    /// Protects a connection that has sent a complete line from eviction until it is answered. Returns false if too
+    /// many connections are being answered, or this one has been evicted.
     fn start_answer(&mut self, id: u64) -> bool {
         if self.answering.len() >= MAX_CONNECTIONS {
             return false;
@@ -136,7 +137,7 @@
         index.is_some()
     }
 
-    /// It has its answer.
+    /// Makes an answered connection idle again.
     fn end_answer(&mut self, id: u64) {
         if let Some(index) = self.answering.iter().position(|connection| connection.0 == id) {
             let connection = self.answering.swap_remove(index);
@@ -151,7 +152,7 @@
 }
 
 impl Console {
-    /// An admin interface that reads and changes these.
+    /// Creates an admin interface to these parts of the process.
     pub fn new(health: Health, metrics: Arc<Metrics>, registry: EndpointRegistry, log: Logger) -> Self {
         Self { health, metrics, registry, connections: Mutex::default(), log }
     }
@@ -160,7 +161,7 @@
         self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Accepts connections for as long as the process runs.
+    /// Accepts and serves connections; never returns.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -179,7 +180,7 @@
                 }
                 Err(error) => pause_after_error(&error, &self.log).await,
             }
-            // A connection that was evicted closes before the next one is accepted.
+            // Lets the tasks of evicted connections close them before the next connection is accepted.
             tokio::task::yield_now().await;
         }
     }
@@ -188,24 +189,24 @@
         let _ = stream.set_nodelay(true);
         let mut input = BytesMut::with_capacity(line::MAX_LINE_BYTES + 1);
         let command = loop {
-            match line::whole_line(&input) {
-                Ok(Some(line)) => break line::read_command(line),
-                Err(bad) => break Err(bad),
+            match line::complete_line(&input) {
+                Ok(Some(line)) => break line::parse_command(line),
+                Err(error) => break Err(error),
                 Ok(None) => {}
             }
             match stream.read_buf(&mut input).await {
                 Ok(0) if input.is_empty() => return,
-                Ok(0) => break Err(BadLine::Cut),
+                Ok(0) => break Err(CommandParseError::Incomplete),
                 Ok(_) => {}
                 Err(_) => return,
             }
         };
         let answer = match command {
             Ok(_) if !self.connections().start_answer(id) => Err(CommandError::TooManyCommands),
-            Ok(command) => self.answer(command).await,
-            Err(bad) => {
-                info!(self.log, "bad console command"; "reason" => %bad, "line" => ?input);
-                Err(CommandError::BadLine(bad))
+            Ok(command) => self.execute(command).await,
+            Err(error) => {
+                info!(self.log, "bad console command"; "reason" => %error, "line" => ?input);
+                Err(CommandError::Parse(error))
             }
         };
         let answer = answer.unwrap_or_else(|error| format!("{FAILURE} {error}\n"));
@@ -213,15 +214,16 @@
             return;
         }
         self.connections().end_answer(id);
-        // A close with unread bytes would be a reset, which can overtake the answer, so they are read for a short time.
+        // Closing a socket with unread input sends a reset, which can overtake the answer, so input is discarded for a
+        // short time.
         let deadline = Instant::now() + CLOSE_TIMEOUT;
-        let mut rest = [0; 512];
-        let drained = async { while matches!(stream.read(&mut rest).await, Ok(n) if n > 0) {} };
-        let _ = timeout_at(deadline, drained).await;
+        let mut discarded = [0; 512];
+        let drain_input = async { while matches!(stream.read(&mut discarded).await, Ok(n) if n > 0) {} };
+        let _ = timeout_at(deadline, drain_input).await;
     }
 
-    /// Carries out a command, and returns the answer to one that succeeded.
-    async fn answer(&self, command: Command) -> Result<String, CommandError> {
+    /// Executes a command. Returns the answer if it succeeds.
+    async fn execute(&self, command: Command) -> Result<String, CommandError> {
         match command {
             Command::Health if self.health.is_serving() => Ok(SUCCESS_LINE.into()),
             Command::Health => Err(CommandError::NotServing),
--- a/gateway/tests/recovery.rs
+++ b/gateway/tests/recovery.rs
@@ -181,7 +181,7 @@
 /// The answer of the console of the first gateway.
 fn console_call(cluster: &Cluster, line: &str) -> String {
     let console = cluster.gateway(0).console;
-    let call = reedwalk_gateway::console::call(console, line, tokio::time::Instant::now() + SECOND);
+    let call = reedwalk_gateway::console::send_command(console, line, tokio::time::Instant::now() + SECOND);
     cluster.runtime().block_on(call).unwrap()
 }
 
--- a/gateway/tests/registry.rs
+++ b/gateway/tests/registry.rs
@@ -204,12 +204,12 @@
 
     #[test]
     fn any_console_line_is_parsed_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300), text in "[A-Z]{0,8} ?[a-z0-9-]{0,8} ?") {
-        use reedwalk_gateway::console::line::{Command, MAX_LINE_BYTES, read_command, whole_line};
+        use reedwalk_gateway::console::line::{Command, MAX_LINE_BYTES, parse_command, complete_line};
         for line in [&bytes[..], text.as_bytes()] {
-            if let Ok(Some(line)) = whole_line(line) {
+            if let Ok(Some(line)) = complete_line(line) {
                 prop_assert!(line.len() <= MAX_LINE_BYTES && !line.contains(&b'\n'));
             }
-            match read_command(line) {
+            match parse_command(line) {
                 Ok(Command::Offline(id) | Command::Online(id)) => prop_assert!(!id.is_empty() && !id.contains(' ')),
                 Ok(Command::Health | Command::Dump) => prop_assert!(line.len() >= 4),
                 // The reason is one line, whatever was in the call.
