--- a/gateway/src/broker/idempotency.rs
+++ b/gateway/src/broker/idempotency.rs
@@ -208,7 +208,7 @@
         } else if tracked.claim_pending {
             self.ended_before_claim.insert(id, tracked);
         } else {
-            self.store.forget(tracked.holder);
+            self.store.stop_renewal(tracked.holder);
         }
     }
 }
--- a/gateway/src/shared_store/background.rs
+++ b/gateway/src/shared_store/background.rs
@@ -1,4 +1,4 @@
-//! The background task of the client: writes the heartbeat, renews leases and flushes the write-behind queue.
+//! The client's background task. It writes the heartbeat, renews leases and flushes the write-behind queue.
 
 use super::client::{LossCounts, PendingWrite, SharedStoreClient};
 use super::scripts::{KeyWrite, millis};
@@ -12,85 +12,85 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Pending writes that are sent together.
-const WRITE_BATCH: usize = 64;
-/// How long the writes of one round may take.
-const WRITE_TIMEOUT: Duration = Duration::from_millis(100);
-/// How often leases are renewed.
-const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
-/// How long a process's heartbeat stays in the store after its last write.
+/// Maximum number of pending writes that are sent together.
+const WRITE_BATCH_SIZE: usize = 64;
+/// Timeout of one flush of the write-behind queue.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
+/// Interval at which leases are renewed.
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
+/// How long a heartbeat stays in the store after its last write.
 const HEARTBEAT_TTL: Duration = Duration::from_secs(60);
 
 impl SharedStoreClient {
-    /// Runs the background work for as long as the program runs.
+    /// Runs the background work; never returns.
     pub async fn run(self: Arc<Self>) {
         let mut next_heartbeat = Instant::now();
-        let mut next_renewal = next_heartbeat + RENEWAL_INTERVAL;
+        let mut next_renewal = next_heartbeat + LEASE_RENEWAL_INTERVAL;
         loop {
             tokio::select! {
                 () = sleep_until(next_heartbeat.min(next_renewal)) => {}
-                () = self.written.notified() => {}
+                () = self.write_queued.notified() => {}
             }
             let now = Instant::now();
             if now >= next_renewal {
-                next_renewal = now + RENEWAL_INTERVAL;
+                next_renewal = now + LEASE_RENEWAL_INTERVAL;
                 self.queue_renewals();
             }
-            let write_deadline = now + WRITE_TIMEOUT;
+            let flush_deadline = now + FLUSH_TIMEOUT;
             if now >= next_heartbeat {
                 next_heartbeat = now + freshness::HEARTBEAT_INTERVAL;
-                // Trial calls of the circuit breaker are made here, whether requests arrive or not, so that a store
-                // that works again is noticed.
+                // The heartbeat also serves as the circuit breaker's trial call, so that a recovered store is detected
+                // even if no requests arrive.
                 if self.is_usable(now, now + self.options.wait) {
                     self.write_heartbeat(now).await;
                 }
             }
             if self.health() == Health::Healthy {
-                self.flush(write_deadline).await;
+                self.flush(flush_deadline).await;
             }
         }
     }
 
     fn queue_renewals(&self) {
         let mut state = self.state();
-        let held: Vec<_> = state.held.iter().map(|(holder, key)| (*holder, key.clone())).collect();
-        for (holder, key) in held {
-            state.outbox.push(PendingWrite::Renew { key, holder });
+        let claimed: Vec<_> = state.claimed_keys.iter().map(|(holder, key)| (*holder, key.clone())).collect();
+        for (holder, key) in claimed {
+            state.pending_writes.push(PendingWrite::Renew { key, holder });
         }
     }
 
-    /// Reads back the last heartbeat and writes the next one.
+    /// Reads the previous heartbeat from the store and writes the next one.
     async fn write_heartbeat(&self, now: Instant) {
         let count = self.state().freshness.next_count();
         let key = self.heartbeat_key();
         let mut pipe = Pipeline::new();
         pipe.atomic().get(&key);
         pipe.cmd("SET").arg(&key).arg(count).arg("PX").arg(millis(HEARTBEAT_TTL)).ignore();
-        let answer = async {
-            let mut connection = self.connection.get().await?;
+        let call = async {
+            let mut connection = self.connection.get_or_open().await?;
             pipe.query_async::<(Option<u64>,)>(&mut connection).await
         };
-        let Some((found,)) = self.connection.observe(answer, now + self.options.wait).await else { return };
-        self.check_freshness(found);
+        let Some((last,)) = self.connection.call_until(call, now + self.options.wait).await else { return };
+        self.check_freshness(last);
         let mut state = self.state();
         state.freshness.on_confirmed(count, now.into_std());
-        let losses = LossCounts { unreadable: state.unreadable, dropped: state.outbox.dropped() };
+        let losses = LossCounts { unreadable: state.unreadable, dropped: state.pending_writes.dropped() };
         if std::mem::replace(&mut state.logged_losses, losses) != losses {
             warn!(self.log, "shared store entries lost"; "unreadable" => losses.unreadable,
                 "dropped" => losses.dropped);
         }
     }
 
-    /// Writes what is pending. A failed write is dropped: the lease that it would have ended expires by itself.
+    /// Sends the pending writes. A failed write is not repeated: the lease that it would have ended expires.
     async fn flush(&self, deadline: Instant) {
         while Instant::now() < deadline {
-            let writes = self.state().outbox.take(WRITE_BATCH);
+            let writes = self.state().pending_writes.take(WRITE_BATCH_SIZE);
             if writes.is_empty() {
                 return;
             }
             let calls: Vec<_> = writes.iter().map(|write| self.invocation(write)).collect();
-            let all = calls.iter().map(|call| self.connection.invoke::<i64>(call, deadline));
-            futures::future::join_all(all).await;
+            let replies = calls.iter().map(|call| self.connection.invoke::<i64>(call, deadline));
+            futures::future::join_all(replies).await;
         }
     }
 
@@ -103,7 +103,7 @@
                     _ => None,
                 };
                 let (stage, ttl) = match end {
-                    // An answer too large to be stored: a retry goes where the request went first.
+                    // The answer is too large to be stored: a retry is sent where the request was sent first.
                     ClaimEnd::Done(_) if value.is_none() => (None, Duration::ZERO),
                     ClaimEnd::Done(_) => (Some(Stage::Done), *window * 2),
                     ClaimEnd::ReleaseWith(stage) => (Some(*stage), Duration::ZERO),
--- a/gateway/src/shared_store/client.rs
+++ b/gateway/src/shared_store/client.rs
@@ -1,6 +1,6 @@
-//! The client of the shared store. Calls that a request waits for have a deadline; all others go through a bounded
-//! write-behind queue, off the path of requests (`background.rs`). How far the store's answers are trusted is decided in
-//! `reedwalk-shared-store`.
+//! The client of the shared store. Calls that a request waits for have a deadline; all other writes go through a
+//! bounded write-behind queue that `background.rs` flushes. `reedwalk-shared-store` decides whether the store's answers
+//! are trusted.
 
 use super::connection::Connection;
 use super::options::SharedStoreOptions;
@@ -20,22 +20,22 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Writes that wait in the write-behind queue at most.
+/// Capacity of the write-behind queue.
 const MAX_PENDING_WRITES: usize = 1024;
 
-/// The key of a request as it stands in the store.
+/// The store's key for the idempotency key of a request.
 pub type Key = Bytes;
 
 /// A write that no request waits for.
 #[derive(Debug)]
 pub(super) enum PendingWrite {
-    /// The end of a request.
+    /// Stores the result of a request and ends its claim.
     EndClaim { key: Key, holder: ClaimHolder, window: Duration, end: ClaimEnd },
-    /// The renewal of a lease.
+    /// Renews the lease of a claim.
     Renew { key: Key, holder: ClaimHolder },
 }
 
-/// Counts of what went wrong, as they were last logged.
+/// Counts of lost entries, kept to log only changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct LossCounts {
     pub(super) unreadable: u64,
@@ -45,37 +45,39 @@
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) freshness: FreshnessCheck,
-    pub(super) outbox: WriteBehindQueue<PendingWrite>,
-    /// Keys that this process has claimed, whose leases are to be renewed.
-    pub(super) held: HashMap<ClaimHolder, Key>,
-    claims: u64,
+    pub(super) pending_writes: WriteBehindQueue<PendingWrite>,
+    /// Keys that this process has claimed and whose leases it renews.
+    pub(super) claimed_keys: HashMap<ClaimHolder, Key>,
+    /// Number of the last claim of this process.
+    last_claim: u64,
     pub(super) unreadable: u64,
     pub(super) logged_losses: LossCounts,
 }
 
-/// The client of the shared store; one for a process.
+/// The client of the shared store; a process has one.
 #[derive(Debug)]
 pub struct SharedStoreClient {
     pub(super) connection: Connection,
     pub(super) scripts: Scripts,
     state: Mutex<State>,
-    /// Notified when a write is pending.
-    pub(super) written: Notify,
-    /// The number of this process, different from that of every other.
+    /// Notified when a write has been queued.
+    pub(super) write_queued: Notify,
+    /// Unique id of this process.
     process: u64,
     pub(super) options: SharedStoreOptions,
     pub(super) log: Logger,
 }
 
-/// What the claim script returns: claimed, milliseconds left of another's lease, stage, value, heartbeat.
-type ScriptReply = (i64, i64, Option<Vec<u8>>, Option<Vec<u8>>, Option<u64>);
+/// The reply of the claim script: 1 if claimed, remaining milliseconds of another holder's lease, stage, value,
+/// heartbeat.
+type ClaimScriptReply = (i64, i64, Option<Vec<u8>>, Option<Vec<u8>>, Option<u64>);
 
 impl SharedStoreClient {
-    /// A client of the Redis at this URL. `process` is the number of this process and of no other; facts in the store
-    /// live as long as `window`.
+    /// Creates a client of the Redis server at `url`. `process` is a unique id of this process; `window` is
+    /// how long entries stay in the store.
     ///
     /// # Errors
-    /// Where it is not the URL of a Redis.
+    /// If `url` is not a valid Redis URL.
     pub fn new(
         url: &str,
         options: SharedStoreOptions,
@@ -85,9 +87,9 @@
     ) -> Result<Self, RedisError> {
         let state = State {
             freshness: FreshnessCheck::new(window, Instant::now().into_std()),
-            outbox: WriteBehindQueue::new(MAX_PENDING_WRITES),
-            held: HashMap::new(),
-            claims: 0,
+            pending_writes: WriteBehindQueue::new(MAX_PENDING_WRITES),
+            claimed_keys: HashMap::new(),
+            last_claim: 0,
             unreadable: 0,
             logged_losses: LossCounts::default(),
         };
@@ -95,14 +97,14 @@
             connection: Connection::new(url, process, log.clone())?,
             scripts: Scripts::new(),
             state: Mutex::new(state),
-            written: Notify::new(),
+            write_queued: Notify::new(),
             process,
             options,
             log,
         })
     }
 
-    /// The operator's options.
+    /// The settings from the operator's file.
     pub fn options(&self) -> &SharedStoreOptions {
         &self.options
     }
@@ -111,40 +113,40 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the store may be asked now, for an answer by `deadline`.
+    /// Whether the circuit breaker allows a call now that ends by `deadline`.
     pub fn is_usable(&self, now: Instant, deadline: Instant) -> bool {
         self.connection.is_usable(now, deadline)
     }
 
-    /// How well the store answers.
+    /// The health of the store.
     pub fn health(&self) -> Health {
         self.connection.health()
     }
 
-    /// A new id for the holder of a claim, never used twice.
+    /// A new id for the holder of a claim; never reused.
     pub fn next_holder(&self) -> ClaimHolder {
         let mut state = self.state();
-        state.claims += 1;
-        ClaimHolder { process: self.process, claim: state.claims }
+        state.last_claim += 1;
+        ClaimHolder { process: self.process, claim: state.last_claim }
     }
 
-    /// The key of this process's heartbeat.
+    /// The store's key for the heartbeat of this process.
     pub(super) fn heartbeat_key(&self) -> String {
         format!("{}:1:count:{:016x}", self.options.namespace, self.process)
     }
 
-    /// The key in the store of a class's idempotency key.
+    /// The store's key for an idempotency key of a class.
     pub fn request_key(&self, class: &str, idempotency_key: &[u8]) -> Key {
         let prefix = format!("{}:1:key:{class}:", self.options.namespace);
         [prefix.as_bytes(), idempotency_key].concat().into()
     }
 
-    /// The key in the store of a team's quota in one window.
+    /// The store's key for a team's quota in one window.
     pub fn quota_key(&self, team: &str, window_ms: u64, window: u64) -> String {
         format!("{}:1:budget:{team}:{window_ms}:{window}", self.options.namespace)
     }
 
-    /// Claims a key; `None` if there is no answer by `deadline`.
+    /// Claims a key; `None` if the call fails or there is no answer by `deadline`.
     pub async fn claim(
         &self,
         key: &Key,
@@ -155,22 +157,22 @@
     ) -> Option<ClaimAnswer> {
         let stage = if is_retry { Stage::Unknown } else { Stage::Claimed };
         let call = self.scripts.claim(key, &self.heartbeat_key(), holder, stage, window);
-        let reply: ScriptReply = self.connection.invoke(&call, deadline).await?;
+        let reply: ClaimScriptReply = self.connection.invoke(&call, deadline).await?;
         let (claimed, lease_left_ms, stage, value, heartbeat) = reply;
         let (is_claimed, stored) = (claimed == 1, stored_state(stage, value));
         let trusted = self.check_freshness(heartbeat);
         let mut state = self.state();
         state.unreadable += u64::from(stored == StoredState::Unreadable);
         if is_claimed {
-            state.held.insert(holder, key.clone());
+            state.claimed_keys.insert(holder, key.clone());
         }
         drop(state);
         let lease_left = Duration::from_millis(lease_left_ms.max(0) as u64);
         Some(ClaimAnswer { claimed: ClaimReply { is_claimed, lease_left, stored }, trusted })
     }
 
-    /// Checks this process's own heartbeat as the store has it. Returns whether the store is fresh, so that its answer that
-    /// nothing was sent can be trusted.
+    /// Checks the heartbeat of this process as read from the store. Returns whether the store is up to date, so that an
+    /// absent entry proves that the request was not sent.
     pub(super) fn check_freshness(&self, heartbeat: Option<u64>) -> bool {
         let now = Instant::now().into_std();
         let mut state = self.state();
@@ -184,7 +186,8 @@
         is_trusted
     }
 
-    /// Records where the key's holder sends its request; `None` if there is no answer by `deadline`.
+    /// Records, as the holder of a key, where the request is sent. `None` if the call fails or there is no answer by
+    /// `deadline`.
     pub async fn record_sent(
         &self,
         key: &Key,
@@ -200,7 +203,8 @@
         Some(written == 1)
     }
 
-    /// Leases units of a quota: as many as are left of those wanted; `None` if there is no answer by `deadline`.
+    /// Leases up to `wanted` units of a quota, as many as remain. `None` if the call fails or there is no answer by
+    /// `deadline`.
     pub async fn lease_quota(
         &self,
         key: &str,
@@ -213,39 +217,39 @@
         self.connection.invoke(&call, deadline).await
     }
 
-    /// Gives units of a quota back; they are lost if the store does not answer by `deadline`.
+    /// Returns unused units of a quota; they are lost if the call fails or there is no answer by `deadline`.
     pub async fn return_quota(&self, key: &str, units: u64, deadline: Instant) {
-        let answer = async {
-            let mut connection = self.connection.get().await?;
+        let call = async {
+            let mut connection = self.connection.get_or_open().await?;
             redis::cmd("DECRBY").arg(key).arg(units).query_async::<i64>(&mut connection).await
         };
-        let _ = self.connection.observe(answer, deadline).await;
+        let _ = self.connection.call_until(call, deadline).await;
     }
 
-    /// Queues the end of a request to be written.
+    /// Queues the write that ends a claim.
     pub fn end_claim(&self, key: Key, holder: ClaimHolder, window: Duration, end: ClaimEnd) {
         let mut state = self.state();
-        state.held.remove(&holder);
-        state.outbox.push(PendingWrite::EndClaim { key, holder, window, end });
+        state.claimed_keys.remove(&holder);
+        state.pending_writes.push(PendingWrite::EndClaim { key, holder, window, end });
         drop(state);
-        self.written.notify_one();
+        self.write_queued.notify_one();
     }
 
-    /// Forgets a claim that did not succeed, or whose result is not known.
-    pub fn forget(&self, holder: ClaimHolder) {
-        self.state().held.remove(&holder);
+    /// Stops renewing the lease of a claim that failed or whose result is unknown.
+    pub fn stop_renewal(&self, holder: ClaimHolder) {
+        self.state().claimed_keys.remove(&holder);
     }
 }
 
-/// What stood in the store, as far as it can be read.
+/// Decodes an entry of the store.
 fn stored_state(stage: Option<Vec<u8>>, value: Option<Vec<u8>>) -> StoredState {
     let Some(stage) = stage else { return StoredState::Absent };
     let value = value.unwrap_or_default();
-    let read = match Stage::from_code(&stage) {
+    let decoded = match Stage::from_code(&stage) {
         Some(Stage::Sent) => codec::decode(&value).ok().map(StoredState::Sent),
         Some(Stage::Done) => codec::decode(&value).ok().map(StoredState::Done),
         Some(stage) => Some(StoredState::Stage(stage)),
         None => None,
     };
-    read.unwrap_or(StoredState::Unreadable)
+    decoded.unwrap_or(StoredState::Unreadable)
 }
--- a/gateway/src/shared_store/connection.rs
+++ b/gateway/src/shared_store/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to Redis, opened when it is needed, and the circuit breaker that decides when Redis is asked.
+//! The connection to Redis, opened on demand, and the circuit breaker that guards calls to it.
 
 use redis::aio::MultiplexedConnection;
 use redis::{Client, FromRedisValue, RedisError, ScriptInvocation};
@@ -8,71 +8,73 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::time::{Instant, timeout_at};
 
-/// A connection that is shared by all calls.
+/// A connection shared by all calls.
 #[derive(Debug)]
 pub(super) struct Connection {
     client: Client,
-    open: tokio::sync::Mutex<Option<MultiplexedConnection>>,
+    current: tokio::sync::Mutex<Option<MultiplexedConnection>>,
     breaker: Mutex<CircuitBreaker>,
     log: Logger,
 }
 
 impl Connection {
-    /// A connection to the Redis at this URL, not yet open. `seed` spreads the retries of several processes.
+    /// Prepares a connection to the Redis server at `url` without opening it. `seed` keeps several processes from
+    /// retrying at the same time.
     ///
     /// # Errors
-    /// Where the URL is not one of a Redis.
+    /// If `url` is not a valid Redis URL.
     pub(super) fn new(url: &str, seed: u64, log: Logger) -> Result<Self, RedisError> {
         let client = Client::open(url)?;
         let breaker = Mutex::new(CircuitBreaker::new(seed));
-        Ok(Self { client, open: tokio::sync::Mutex::new(None), breaker, log })
+        Ok(Self { client, current: tokio::sync::Mutex::new(None), breaker, log })
     }
 
     fn breaker(&self) -> MutexGuard<'_, CircuitBreaker> {
         self.breaker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether Redis may be asked now, for an answer by `deadline`.
+    /// Whether the circuit breaker allows a call now that ends by `deadline`.
     pub(super) fn is_usable(&self, now: Instant, deadline: Instant) -> bool {
         self.breaker().allows_call(now.into_std(), deadline.into_std())
     }
 
-    /// How well Redis answers.
+    /// The health of Redis according to the circuit breaker.
     pub(super) fn health(&self) -> Health {
         self.breaker().health()
     }
 
-    /// The open connection; opens one if there is none.
-    pub(super) async fn get(&self) -> Result<MultiplexedConnection, RedisError> {
-        let mut open = self.open.lock().await;
-        if let Some(connection) = open.as_ref() {
+    /// Returns the open connection, or opens one if there is none.
+    pub(super) async fn get_or_open(&self) -> Result<MultiplexedConnection, RedisError> {
+        let mut current = self.current.lock().await;
+        if let Some(connection) = current.as_ref() {
             return Ok(connection.clone());
         }
         let connection = self.client.get_multiplexed_async_connection().await?;
-        *open = Some(connection.clone());
+        *current = Some(connection.clone());
         Ok(connection)
     }
 
-    /// Runs a script; `None` if there is no answer by `deadline`.
+    /// Runs a script; `None` if the call fails or there is no answer by `deadline`.
     pub(super) async fn invoke<T: FromRedisValue>(
         &self,
-        call: &ScriptInvocation<'_>,
+        invocation: &ScriptInvocation<'_>,
         deadline: Instant,
     ) -> Option<T> {
-        let answer = async {
-            let mut connection = self.get().await?;
-            call.invoke_async(&mut connection).await
+        let call = async {
+            let mut connection = self.get_or_open().await?;
+            invocation.invoke_async(&mut connection).await
         };
-        self.observe(answer, deadline).await
+        self.call_until(call, deadline).await
     }
 
-    /// Waits for an answer until `deadline`, and tells the circuit breaker how that ended.
-    pub(super) async fn observe<T>(
+    /// Awaits a call until `deadline` and reports the outcome to the circuit breaker. `None` if the call fails or times
+    /// out.
+    pub(super) async fn call_until<T>(
         &self,
-        answer: impl Future<Output = Result<T, RedisError>>,
+        call: impl Future<Output = Result<T, RedisError>>,
         deadline: Instant,
     ) -> Option<T> {
-        let (fault, reason) = match timeout_at(deadline, answer).await {
+        let (fault, reason) = match timeout_at(deadline, call).await {
             Ok(Ok(answer)) => {
                 let changed = self.breaker().on_success();
                 self.log_health(changed, "answers");
@@ -81,9 +83,9 @@
             Ok(Err(error)) => (Fault::Error, error.to_string()),
             Err(_) => (Fault::Timeout, "no answer in time".to_owned()),
         };
-        // If the lock is held, another call is reconnecting already.
-        if let Ok(mut open) = self.open.try_lock() {
-            *open = None;
+        // If the mutex is locked, another call is already reconnecting.
+        if let Ok(mut current) = self.current.try_lock() {
+            *current = None;
         }
         let changed = self.breaker().on_failure(fault, Instant::now().into_std());
         self.log_health(changed, &reason);
--- a/gateway/src/shared_store/mod.rs
+++ b/gateway/src/shared_store/mod.rs
@@ -1,4 +1,4 @@
-//! The store that gateways share (Redis): idempotency keys and quota leases.
+//! The Redis store that gateways share for idempotency keys and quota leases.
 
 mod background;
 pub mod client;
--- a/gateway/src/shared_store/options.rs
+++ b/gateway/src/shared_store/options.rs
@@ -1,17 +1,17 @@
-//! The settings of the shared store in an operator's file, apart from its address.
+//! Settings of the shared store in the operator's file, except its address.
 
 use std::time::Duration;
 
 /// Options of the shared store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SharedStoreOptions {
-    /// The first part of all keys.
+    /// Prefix of all keys.
     pub namespace: String,
-    /// By how much the clocks of gateways may differ.
+    /// Maximum difference between the clocks of gateways.
     pub clocks_differ: Duration,
-    /// How long a request waits for one answer of the store.
+    /// How long a request waits for one call to the store.
     pub wait: Duration,
-    /// Idempotency keys are shared there as well.
+    /// Whether idempotency keys are shared too, not only quotas.
     pub share_keys: bool,
 }
 
--- a/gateway/src/shared_store/scripts.rs
+++ b/gateway/src/shared_store/scripts.rs
@@ -1,12 +1,12 @@
-//! The Lua scripts that run in Redis, each atomically. Their text is part of what is stored: Redis knows a script by its
-//! hash, so that gateways of different versions share those that are alike.
+//! Lua scripts that Redis executes atomically. Their text is part of the stored format: Redis identifies a script by
+//! its hash, so gateways of different versions share identical scripts.
 
 use redis::{Script, ScriptInvocation};
 use reedwalk_shared_store::idempotency::{CLAIM_LEASE, ClaimHolder, Stage};
 use std::time::Duration;
 
-/// Claims a key that has no holder. Returns: claimed (1 or 0), milliseconds left of another's lease, and the stage,
-/// value and heartbeat found there.
+/// Claims a key that has no holder. Returns 1 if claimed and 0 if not, the remaining milliseconds of another holder's
+/// lease, and the stored stage, value and heartbeat.
 const CLAIM: &str = "\
 -- reedwalk claim 1
 local s, h, v = unpack(redis.call('HMGET', KEYS[1], 's', 'h', 'v'))
@@ -20,7 +20,7 @@
 redis.call('SET', KEYS[2], ARGV[1], 'PX', ARGV[2])
 return {1, 0, s, v, count}";
 
-/// Writes a stage and a value, each where it is not empty, as the key's holder; and releases the key if told to.
+/// Writes the stage and the value, if not empty, as the holder of a key; optionally releases the key.
 const WRITE: &str = "\
 -- reedwalk write 1
 if redis.call('HGET', KEYS[1], 'h') ~= ARGV[1] then return 0 end
@@ -30,14 +30,14 @@
 if ARGV[5] == '1' then redis.call('HSET', KEYS[1], 'h', ''); redis.call('DEL', KEYS[2]) end
 return 1";
 
-/// Renews the lease, as the key's holder.
+/// Renews the lease as the holder of a key.
 const RENEW: &str = "\
 -- reedwalk renew 1
 if redis.call('HGET', KEYS[1], 'h') ~= ARGV[1] then return 0 end
 redis.call('SET', KEYS[2], ARGV[1], 'PX', ARGV[2])
 return 1";
 
-/// Leases units of a quota: as many as are left of those wanted. Returns how many.
+/// Leases up to the wanted number of units of a quota, as many as remain. Returns the number leased.
 const LEASE_QUOTA: &str = "\
 -- reedwalk lease 1
 local left = tonumber(ARGV[2]) - tonumber(redis.call('GET', KEYS[1]) or '0')
@@ -48,7 +48,7 @@
 end
 return units";
 
-/// All scripts.
+/// The prepared scripts.
 #[derive(Debug)]
 pub(super) struct Scripts {
     claim: Script,
@@ -57,15 +57,15 @@
     lease_quota: Script,
 }
 
-/// What [`Scripts::write`] writes.
+/// The arguments of [`Scripts::write`].
 pub(super) struct KeyWrite<'a> {
-    /// `None` leaves the stage as it is.
+    /// `None` leaves the stage unchanged.
     pub(super) stage: Option<Stage>,
-    /// Empty leaves the value as it is.
+    /// An empty value leaves the stored one unchanged.
     pub(super) value: &'a [u8],
-    /// Time from now after which the key expires; zero leaves that as it is.
+    /// Time until the key expires; zero leaves the expiry unchanged.
     pub(super) ttl: Duration,
-    /// Ends the holder's claim.
+    /// Whether to end the holder's claim.
     pub(super) release: bool,
 }
 
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Claims `key` for `holder`. A key of stage `stage` lives as long as `window`, one that was sent twice as long.
+    /// Claims `key` for `holder`, with `stage` for a new key. The key expires after `window`, or after twice as long if
+    /// its request has been sent.
     pub(super) fn claim(
         &self,
         key: &[u8],
@@ -116,7 +117,8 @@
         call
     }
 
-    /// Leases units of the quota `key`, which has `budget` units and expires at a Unix time in milliseconds.
+    /// Leases up to `wanted` units of the quota `key`, which has `budget` units and expires at the Unix time
+    /// `expires_ms`.
     pub(super) fn lease_quota(
         &self,
         key: &str,
@@ -130,7 +132,7 @@
     }
 }
 
-/// The key of the lease on a key.
+/// The store's key for the lease on `key`.
 fn lease_key(key: &[u8]) -> Vec<u8> {
     [key, b":lease"].concat()
 }
