--- a/gateway/src/persistence/inspect.rs
+++ b/gateway/src/persistence/inspect.rs
@@ -1,4 +1,4 @@
-//! The sub-commands `reedwalk state show`, `verify` and `forget`.
+//! The subcommands `reedwalk state show`, `verify` and `forget`.
 
 use super::folder::Folder;
 use crate::unix_clock::unix_ms;
@@ -10,23 +10,23 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// How closely a folder is looked at.
+/// How a folder is inspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckMode {
-    /// Lists what it holds.
+    /// Lists its contents.
     Show,
-    /// Checks that all of it can be read.
+    /// Checks that all snapshots can be read.
     Verify,
 }
 
-/// Why a folder could not be shown, verified or emptied.
+/// Why a folder could not be shown, verified or cleared.
 #[derive(Debug)]
 pub enum PersistenceError {
     /// The folder could not be read or changed.
     Io(PathBuf, std::io::Error),
     /// At least one snapshot in it can't be read.
     Unreadable(FolderReport),
-    /// Another process writes there.
+    /// Another process holds the folder's lock.
     InUse(PathBuf),
 }
 
@@ -35,7 +35,7 @@
         match self {
             Self::Io(path, error) => write!(f, "{}: {error}", path.display()),
             Self::Unreadable(report) => write!(f, "{report}"),
-            Self::InUse(path) => write!(f, "{}: a gateway writes there; end it first", path.display()),
+            Self::InUse(path) => write!(f, "{}: in use by a running gateway; stop it first", path.display()),
         }
     }
 }
@@ -53,9 +53,9 @@
 /// Why one snapshot can't be read.
 #[derive(Debug)]
 pub enum SnapshotReadError {
-    /// The file could not be read.
+    /// Reading the file failed.
     Io(std::io::Error),
-    /// The bytes are not a snapshot of this format.
+    /// The file is not a snapshot in this format.
     Format(SnapshotError),
 }
 
@@ -77,26 +77,26 @@
     }
 }
 
-/// What is stored in a folder. Its text is what `reedwalk state show` prints.
+/// The contents of a folder; `reedwalk state show` prints its `Display` text.
 #[derive(Debug)]
 pub struct FolderReport {
     mode: CheckMode,
     snapshots: Vec<SnapshotReport>,
 }
 
-/// One snapshot file, and what it holds.
+/// One snapshot file and its contents.
 #[derive(Debug)]
 struct SnapshotReport {
     file: String,
     content: Result<SnapshotContent, SnapshotReadError>,
 }
 
-/// A snapshot that could be read, and the log behind it.
+/// A readable snapshot and a summary of its log.
 #[derive(Debug)]
 struct SnapshotContent {
     stored: StoredSnapshot,
     age_s: u64,
-    logged_keys: usize,
+    log_keys: usize,
     torn_bytes: usize,
 }
 
@@ -111,11 +111,11 @@
         for SnapshotReport { file, content } in &self.snapshots {
             match content {
                 Ok(content) => content.write(f, file, self.mode)?,
-                Err(error) => writeln!(f, "{file}: NOT SOUND: {error}")?,
+                Err(error) => writeln!(f, "{file}: UNREADABLE: {error}")?,
             }
         }
         if self.snapshots.is_empty() {
-            writeln!(f, "no record")?;
+            writeln!(f, "no snapshots")?;
         }
         Ok(())
     }
@@ -126,7 +126,7 @@
         let (owner, snapshot) = (self.stored.owner, &self.stored.snapshot);
         writeln!(
             f,
-            "{file}: sound, written {} s ago, host {:016x}, gateway {:016x}, settings {:016x}",
+            "{file}: valid, written {} s ago, host {:016x}, gateway {:016x}, settings {:016x}",
             self.age_s, owner.host, owner.gateway, owner.settings
         )?;
         if mode == CheckMode::Show {
@@ -136,27 +136,27 @@
             for engine in &snapshot.engines {
                 match engine.slowdown {
                     Some(slowdown) => writeln!(f, "  engine {}: {slowdown:.2} times", engine.id)?,
-                    None => writeln!(f, "  engine {}: not seen", engine.id)?,
+                    None => writeln!(f, "  engine {}: not observed", engine.id)?,
                 }
             }
         }
-        let (keys, logged, torn) = (snapshot.keys.len(), self.logged_keys, self.torn_bytes);
-        writeln!(f, "  keys: {keys} in the record, {logged} in its log, {torn} bytes torn")
+        let (keys, log_keys, torn) = (snapshot.keys.len(), self.log_keys, self.torn_bytes);
+        writeln!(f, "  keys: {keys} in the snapshot, {log_keys} in its log, {torn} torn bytes")
     }
 }
 
-fn open(path: &Path) -> Result<Folder, PersistenceError> {
+fn open_existing(path: &Path) -> Result<Folder, PersistenceError> {
     let io_error = |error| PersistenceError::Io(path.to_owned(), error);
     std::fs::read_dir(path).map_err(io_error)?;
     Folder::open(path).map_err(io_error)
 }
 
-/// Reads what is stored in a folder.
+/// Reads the snapshots in a folder.
 ///
 /// # Errors
-/// Where the folder can't be read, or on [`CheckMode::Verify`] where something in it can't.
+/// If the folder can't be read or, with [`CheckMode::Verify`], a snapshot in it can't.
 pub fn show(path: &Path, mode: CheckMode) -> Result<FolderReport, PersistenceError> {
-    let folder = open(path)?;
+    let folder = open_existing(path)?;
     let mut files = folder.names().map_err(|error| PersistenceError::Io(path.to_owned(), error))?;
     files.sort();
     files.retain(|file| file.starts_with(SNAPSHOT_PREFIX));
@@ -168,7 +168,7 @@
     Ok(report)
 }
 
-/// Reads one snapshot and counts what its log adds. A log that can't be read counts as empty.
+/// Reads one snapshot and summarises its log. A log that can't be read counts as empty.
 fn read_snapshot(folder: &Folder, file: &str) -> Result<SnapshotContent, SnapshotReadError> {
     let bytes = folder.read(file, MAX_SNAPSHOT_BYTES).map_err(SnapshotReadError::Io)?;
     let stored = snapshot_codec::decode(&bytes).map_err(SnapshotReadError::Format)?;
@@ -177,29 +177,29 @@
     let Replay { entries, whole_bytes } = write_ahead_log::replay(stored.owner, stored.generation, &log);
     Ok(SnapshotContent {
         age_s: unix_ms().saturating_sub(stored.snapshot.written) / 1000,
-        logged_keys: entries.len(),
+        log_keys: entries.len(),
         torn_bytes: log.len() - whole_bytes,
         stored,
     })
 }
 
-/// Deletes everything that is stored in a folder. Returns a line that says so.
+/// Deletes the stored files in a folder. Returns a line for the operator.
 ///
 /// # Errors
-/// Where another process writes there, or a file can't be deleted.
+/// If another process holds the folder's lock, or a file can't be deleted.
 pub fn forget(path: &Path) -> Result<String, PersistenceError> {
     let io_error = |error| PersistenceError::Io(path.to_owned(), error);
-    let mut folder = open(path)?;
-    let Some(_locked) = folder.lock().map_err(io_error)? else {
+    let mut folder = open_existing(path)?;
+    let Some(_lock) = folder.lock().map_err(io_error)? else {
         return Err(PersistenceError::InUse(path.to_owned()));
     };
-    let is_ours = |name: &&String| {
+    let is_state_file = |name: &&String| {
         name.starts_with(SNAPSHOT_PREFIX) || name.starts_with(LOG_PREFIX) || *name == TEMPORARY_FILE
     };
     let names = folder.names().map_err(io_error)?;
-    let ours: Vec<_> = names.iter().filter(is_ours).collect();
-    for name in &ours {
+    let state_files: Vec<_> = names.iter().filter(is_state_file).collect();
+    for name in &state_files {
         folder.remove(name).map_err(io_error)?;
     }
-    Ok(format!("{} files forgotten\n", ours.len()))
+    Ok(format!("{} files deleted\n", state_files.len()))
 }
--- a/gateway/src/persistence/mod.rs
+++ b/gateway/src/persistence/mod.rs
@@ -1,5 +1,5 @@
-//! Persistence: what a gateway stores for its next process, in the folder that an operator's file names. How far each
-//! stored fact is trusted is decided in `reedwalk-recovery`.
+//! Persistence of state for the next process of a gateway, in the folder that the operator's file configures.
+//! `reedwalk-recovery` decides how far each stored fact is trusted.
 
 pub mod folder;
 mod inspect;
@@ -12,11 +12,11 @@
 
 use std::path::PathBuf;
 
-/// The settings of persistence in an operator's file.
+/// Settings of persistence in the operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PersistenceOptions {
-    /// The folder.
+    /// The folder that state is stored in.
     pub folder: PathBuf,
-    /// The line that names it.
+    /// The line of the operator's file that configures the folder.
     pub line: usize,
 }
--- a/gateway/src/persistence/restore.rs
+++ b/gateway/src/persistence/restore.rs
@@ -1,4 +1,4 @@
-//! Restores what the previous process has persisted.
+//! Restores the state that the previous process persisted.
 
 use super::folder::Folder;
 use crate::config::Config;
@@ -16,43 +16,47 @@
 use tokio::time::Instant;
 
 /// Files whose contents identify the host.
-const HOST_FILES: [&str; 2] = ["/etc/machine-id", "/proc/sys/kernel/hostname"];
+const HOST_ID_FILES: [&str; 2] = ["/etc/machine-id", "/proc/sys/kernel/hostname"];
 
-/// A hash of a list of texts.
-fn digest(texts: impl IntoIterator<Item = impl AsRef<[u8]>>) -> u64 {
-    // A zero byte after each text, so that two different lists never give the same bytes.
-    let bytes: Vec<_> = texts.into_iter().flat_map(|text| [text.as_ref(), &[0]].concat()).collect();
+/// Hashes a list of strings.
+fn hash_strings(strings: impl IntoIterator<Item = impl AsRef<[u8]>>) -> u64 {
+    // A zero byte ends each string, so that different lists do not concatenate to the same bytes.
+    let bytes: Vec<_> = strings.into_iter().flat_map(|string| [string.as_ref(), &[0]].concat()).collect();
     reedwalk_settings::key(&bytes).0
 }
 
-/// The owner of this gateway's snapshots. The texts that are hashed here are part of the stored format.
+/// The owner of this gateway's snapshots. The strings that are hashed here are part of the stored format.
 pub fn owner(config: &Config) -> SnapshotOwner {
-    let host = HOST_FILES.map(|file| std::fs::read(file).unwrap_or_default());
-    // Only the settings that a snapshot depends on: an upgrade that adds others must not invalidate it.
+    let host = HOST_ID_FILES.map(|file| std::fs::read(file).unwrap_or_default());
+    // Covers only settings that a snapshot depends on, so that an upgrade with new settings does not invalidate it.
     let classes = config.deployment.sockets.classes.iter().zip(&config.deployment.scheduler.classes);
     let classes = classes.map(|(name, class)| match class.idempotency.deduplication() {
         Some(Deduplication { scope, window }) => format!("{name} {scope:?} {window:?}"),
         None => name.clone(),
     });
-    SnapshotOwner { host: digest(host), gateway: digest([config.name.as_bytes()]), settings: digest(classes) }
+    SnapshotOwner {
+        host: hash_strings(host),
+        gateway: hash_strings([config.name.as_bytes()]),
+        settings: hash_strings(classes),
+    }
 }
 
-/// Reads what the previous process has persisted, and logs what was found.
+/// Reads the state that the previous process persisted and logs a summary.
 pub fn load_snapshot(folder: &Folder, owner: SnapshotOwner, log: &Logger) -> RecoveredState<std::io::Error> {
-    let found = recover(folder, owner, unix_ms());
-    for file in &found.unused {
+    let recovered = recover(folder, owner, unix_ms());
+    for file in &recovered.unused {
         warn!(log, "persisted file ignored"; "file" => &file.name, "reason" => %file.reason);
     }
-    let snapshot = &found.snapshot;
+    let snapshot = &recovered.snapshot;
     let age_ms = unix_ms().saturating_sub(snapshot.written);
-    info!(log, "persisted state read"; "generation" => ?found.generation, "engines" => snapshot.engines.len(),
-        "classes" => snapshot.classes.len(), "keys" => snapshot.keys.len(), "torn_bytes" => found.torn,
+    info!(log, "persisted state read"; "generation" => ?recovered.generation, "engines" => snapshot.engines.len(),
+        "classes" => snapshot.classes.len(), "keys" => snapshot.keys.len(), "torn_bytes" => recovered.torn,
         "age_ms" => age_ms);
-    found
+    recovered
 }
 
-/// The classes' latency statistics of a snapshot, weighted by the confidence that their age leaves; in the order of
-/// `names`.
+/// The latency statistics of the classes in a snapshot, in the order of `names`, weighted by the confidence that
+/// remains at their age.
 pub fn restored_class_stats(
     snapshot: &Snapshot,
     names: &[String],
@@ -62,15 +66,18 @@
     let age = now.saturating_sub(snapshot.written);
     let prior = confidence(Fact::Latency, Source::Disk, age, 0, contradictions);
     let Confidence::Prior(weight) = prior else { return vec![None; names.len()] };
-    let faded = |(mean, samples): (f64, f64)| SampledMean { mean, samples: samples * weight };
+    let weighted = |(mean, samples): (f64, f64)| SampledMean { mean, samples: samples * weight };
     let stats = |name: &String| {
         let class = snapshot.classes.iter().find(|class| class.name == *name)?;
-        Some(ClassLatencyStats { execution_time: faded(class.exec), work_per_thread: faded(class.width) })
+        Some(ClassLatencyStats {
+            execution_time: weighted(class.exec),
+            work_per_thread: weighted(class.width),
+        })
     };
     names.iter().map(stats).collect()
 }
 
-/// The events for the broker on the engines of a snapshot that have not restarted since.
+/// Broker events for the engines of a snapshot that have not restarted since it was written.
 pub fn restored_observations(
     snapshot: &Snapshot,
     registry: &EndpointRegistry,
@@ -79,13 +86,13 @@
     let mut events = Vec::new();
     registry.for_each_engine(|name, engine, started| {
         if let Some(record) = snapshot.engines.iter().find(|record| record.id == name) {
-            events.extend(restored_engine(snapshot, record, engine, started, now));
+            events.extend(restored_engine_events(snapshot, record, engine, started, now));
         }
     });
     events
 }
 
-fn restored_engine(
+fn restored_engine_events(
     snapshot: &Snapshot,
     record: &EngineRecord,
     engine: EngineId,
--- a/gateway/src/persistence/writer.rs
+++ b/gateway/src/persistence/writer.rs
@@ -1,5 +1,5 @@
-//! The thread that persists state. Nothing else waits for the disk, be it slow or full; an event that finds the queue full
-//! is not persisted. A retry may be delayed for that, but never takes effect twice.
+//! The thread that persists state. No other thread waits for a slow or full disk: when the queue is full, events are
+//! not persisted. That may delay a retry, but never lets it take effect twice.
 
 use super::folder::Folder;
 use crate::lock::Locked;
@@ -16,24 +16,24 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Maximum number of events that wait to be written.
+/// Capacity of the queue of events to be written.
 pub const QUEUE_CAPACITY: usize = 1024;
-/// Interval at which a lock that another process holds is tried again.
+/// Interval between attempts to take a lock that another process holds.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The persistence thread.
 pub struct PersistenceThread {
-    /// Where snapshots are written.
+    /// The folder that snapshots are written to.
     pub folder: Folder,
-    /// The owner of the snapshots.
+    /// Identifies the gateway that may use the snapshots.
     pub owner: SnapshotOwner,
-    /// Names of the classes.
+    /// Names of the classes, in the order of their ids.
     pub classes: Vec<String>,
-    /// Names of the engines.
+    /// Supplies the names and start times of the engines.
     pub registry: EndpointRegistry,
-    /// The metrics.
+    /// Where the counters are published.
     pub metrics: Arc<Metrics>,
-    /// The log.
+    /// The logger.
     pub log: Logger,
 }
 
@@ -45,13 +45,13 @@
     dropped: u64,
 }
 
-/// The store of a folder whose lock this process holds.
+/// A snapshot store in a folder whose lock this process holds.
 struct LockedStore {
     store: SnapshotStore,
     _lock: Locked,
 }
 
-/// A class, an engine and a key list of [`PersistedEvent::Snapshot`].
+/// The fields of [`PersistedEvent::Snapshot`].
 struct SnapshotParts {
     classes: Vec<ClassLatencyStats>,
     engines: Vec<EngineObservation>,
@@ -59,10 +59,10 @@
 }
 
 impl PersistenceThread {
-    /// Starts the thread; it ends with the queue's sender.
+    /// Starts the thread, which ends when all senders of the queue are dropped.
     ///
     /// # Errors
-    /// Where the system can't start a thread.
+    /// If the system can't start a thread.
     pub fn start(self, events: mpsc::Receiver<PersistedEvent>) -> std::io::Result<()> {
         let thread = std::thread::Builder::new().name("state".into());
         thread.spawn(move || self.run(events)).map(|_| ())
@@ -79,10 +79,10 @@
                 batch.push(more);
             }
             if store.is_none() {
-                store = self.lock();
+                store = self.open_store();
             }
             let Some(LockedStore { store, .. }) = &mut store else {
-                // In a hot restart the other process ends soon. Any other process keeps the folder: it was first.
+                // In a hot restart the other process ends soon. Any other process took the lock first and keeps it.
                 if !std::mem::replace(&mut wait_logged, true) {
                     warn!(self.log, "persistence folder in use by another process, waiting for it");
                 }
@@ -103,31 +103,31 @@
         }
     }
 
-    fn lock(&self) -> Option<LockedStore> {
+    fn open_store(&self) -> Option<LockedStore> {
         let lock = self.folder.lock().ok().flatten()?;
         info!(self.log, "persistence started");
         Some(LockedStore { store: SnapshotStore::new(&self.folder, self.owner), _lock: lock })
     }
 
-    /// Writes a batch: as a new snapshot if one is in it, else to the log of the last one.
+    /// Writes a batch as a new snapshot if it contains one, otherwise appends it to the log of the last snapshot.
     fn write(
         &mut self,
         store: &mut SnapshotStore,
         batch: &mut Vec<PersistedEvent>,
         counters: &mut Counters,
     ) -> Result<(), SnapshotStoreError<std::io::Error>> {
-        let (mut keys, mut latest) = (Vec::new(), None);
+        let (mut keys, mut snapshot_parts) = (Vec::new(), None);
         for event in batch.drain(..) {
             match event {
                 PersistedEvent::IdempotencyKey(key) => keys.push(key),
                 PersistedEvent::Snapshot { classes, engines, keys } => {
-                    latest = Some(SnapshotParts { classes, engines, keys });
+                    snapshot_parts = Some(SnapshotParts { classes, engines, keys });
                 }
             }
         }
-        if let Some(parts) = latest {
+        if let Some(parts) = snapshot_parts {
             let mut snapshot = self.snapshot(parts);
-            // Keys that were sent after the snapshot was taken.
+            // Keys of requests that were sent after the snapshot was taken.
             for key in &keys {
                 snapshot.add(*key);
             }
@@ -143,13 +143,13 @@
     fn snapshot(&self, parts: SnapshotParts) -> Snapshot {
         let mut engines = Vec::new();
         self.registry.for_each_engine(|name, engine, started| {
-            let observed = parts.engines.iter().find(|observed| observed.engine == engine);
-            let Some(observed) = observed else { return };
+            let observation = parts.engines.iter().find(|observed| observed.engine == engine);
+            let Some(observation) = observation else { return };
             engines.push(EngineRecord {
                 id: name.to_owned(),
                 started: started.map_or(0, |time| time.0 / 1000),
-                slowdown: observed.slowdown,
-                ejected_until: observed.ejected_until.map_or(0, |time| time.0 / 1000),
+                slowdown: observation.slowdown,
+                ejected_until: observation.ejected_until.map_or(0, |time| time.0 / 1000),
             });
         });
         let class = |(name, stats): (&String, &ClassLatencyStats)| ClassRecord {
