--- a/gateway/src/broker/mod.rs
+++ b/gateway/src/broker/mod.rs
@@ -259,7 +259,8 @@
 
     /// Shortens the deadlines of the open requests once this process shuts down.
     fn update_shutdown_deadline(&mut self) {
-        let deadline = self.context.phase.borrow_and_update().end().map(|end| end.answered);
+        let deadline =
+            self.context.phase.borrow_and_update().deadlines().map(|deadlines| deadlines.answer_by);
         if deadline == self.shutdown_deadline {
             return;
         }
--- a/gateway/src/front/flight/mod.rs
+++ b/gateway/src/front/flight/mod.rs
@@ -7,11 +7,11 @@
 mod service;
 mod ticket;
 
-use crate::accept::{accepted_already, pause_after_error};
+use crate::accept::{drain_backlog, pause_after_error};
 use crate::broker::RequestQueue;
 use crate::multicore::Multicore;
 use crate::operator::FlightFront;
-use crate::shutdown::{Phase, closing};
+use crate::shutdown::{Phase, wait_until_closing};
 use arrow_flight::flight_service_server::FlightServiceServer;
 use hyper::server::conn::http2;
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
@@ -65,11 +65,11 @@
                     continue;
                 }
             },
-            () = closing(&mut phase) => break,
+            () = wait_until_closing(&mut phase) => break,
         };
         open(stream, phase.clone());
     }
-    accepted_already(listener).for_each(|stream| open(stream, phase.clone()));
+    drain_backlog(listener).for_each(|stream| open(stream, phase.clone()));
 }
 
 /// One of the connections that the front may hold, until it is dropped.
@@ -104,7 +104,7 @@
     let mut served = pin!(served);
     let ended = tokio::select! {
         ended = served.as_mut() => ended,
-        () = closing(&mut phase) => {
+        () = wait_until_closing(&mut phase) => {
             served.as_mut().graceful_shutdown();
             served.await
         }
--- a/gateway/src/front/mysql/mod.rs
+++ b/gateway/src/front/mysql/mod.rs
@@ -9,12 +9,12 @@
 mod session;
 mod session_slots;
 
-use crate::accept::{accepted_already, pause_after_error};
+use crate::accept::{drain_backlog, pause_after_error};
 use crate::broker::RequestQueue;
 use crate::limits::Limits;
 use crate::multicore::Multicore;
 use crate::quotas::QuotaManager;
-use crate::shutdown::{Phase, closing};
+use crate::shutdown::{Phase, wait_until_closing};
 use connection_ids::ConnectionIds;
 use packet::Writer;
 use reedwalk_operations::CapacityShare;
@@ -130,14 +130,14 @@
                         continue;
                     }
                 },
-                () = closing(&mut phase) => break,
+                () = wait_until_closing(&mut phase) => break,
             };
             self.open_session(stream, ids.next_id(), &phase, &open_connections);
             slot_log.update(self.slots.counts(), &self.log);
             // A session that was evicted ends before the next client is accepted.
             tokio::task::yield_now().await;
         }
-        for stream in accepted_already(listener) {
+        for stream in drain_backlog(listener) {
             self.open_session(stream, ids.next_id(), &phase, &open_connections);
         }
     }
--- a/gateway/src/front/mysql/session.rs
+++ b/gateway/src/front/mysql/session.rs
@@ -10,7 +10,7 @@
 use crate::front::sql;
 use crate::message::{Failure, Request, Response};
 use crate::metrics::RequestOutcome;
-use crate::shutdown::{Phase, closed_to};
+use crate::shutdown::{Phase, wait_until_closing_after};
 use bytes::{Bytes, BytesMut};
 use reedwalk_settings::duration_from_ms;
 use socket2::SockRef;
@@ -229,7 +229,7 @@
                 biased;
                 filled = self.fill() => filled?,
                 () = evicted.notified() => return Err(SessionEnd::Evicted),
-                () = closed_to(phase, open_until), if is_idle => {
+                () = wait_until_closing_after(phase, open_until), if is_idle => {
                     if !self.has_unread_bytes() {
                         return Err(SessionEnd::ClosedByGateway);
                     }
--- a/gateway/src/persistence/folder.rs
+++ b/gateway/src/persistence/folder.rs
@@ -1,6 +1,6 @@
 //! A folder on the disk, for `reedwalk-recovery`, and the lock that keeps a second process out of it.
 
-use crate::lock::Locked;
+use crate::lock::FileLock;
 use reedwalk_recovery::snapshot_store::SnapshotFiles;
 use std::fs::{File, OpenOptions};
 use std::io::{Error, Read, Write};
@@ -29,8 +29,8 @@
     ///
     /// # Errors
     /// Where the lock file can't be created.
-    pub fn lock(&self) -> Result<Option<Locked>, Error> {
-        Locked::take(&self.0.join("lock"))
+    pub fn lock(&self) -> Result<Option<FileLock>, Error> {
+        FileLock::try_acquire(&self.0.join("lock"))
     }
 
     fn put(&self, name: &str, bytes: &[u8], options: &mut OpenOptions) -> Result<(), Error> {
--- a/gateway/src/persistence/writer.rs
+++ b/gateway/src/persistence/writer.rs
@@ -2,7 +2,7 @@
 //! is not persisted. A retry may be delayed for that, but never takes effect twice.
 
 use super::folder::Folder;
-use crate::lock::Locked;
+use crate::lock::FileLock;
 use crate::message::PersistedEvent;
 use crate::metrics::{Metric, Metrics};
 use crate::registry::EndpointRegistry;
@@ -48,7 +48,7 @@
 /// The store of a folder whose lock this process holds.
 struct LockedStore {
     store: SnapshotStore,
-    _lock: Locked,
+    _lock: FileLock,
 }
 
 /// A class, an engine and a key list of [`PersistedEvent::Snapshot`].
--- a/gateway/src/registry/override_file.rs
+++ b/gateway/src/registry/override_file.rs
@@ -1,7 +1,7 @@
 //! The file that stores the operators' overrides beyond the process. It is written to a temporary file and renamed; a
 //! lock that the kernel releases with its process excludes a second writer.
 
-use crate::lock::Locked;
+use crate::lock::FileLock;
 use reedwalk_operations::{MAX_RECORD_BYTES, OverrideRecordError, Overrides, read, write};
 use slog::{Logger, error};
 use std::fmt;
@@ -88,9 +88,9 @@
     ///
     /// # Errors
     /// Where another process holds it for too long, or the lock file can't be created.
-    pub async fn lock(&self, deadline: Instant) -> Result<Locked, OverrideFileError> {
+    pub async fn lock(&self, deadline: Instant) -> Result<FileLock, OverrideFileError> {
         loop {
-            match Locked::take(&self.lock_path)? {
+            match FileLock::try_acquire(&self.lock_path)? {
                 Some(locked) => return Ok(locked),
                 None if Instant::now() >= deadline => return Err(OverrideFileError::Busy),
                 None => sleep_until(Instant::now() + LOCK_RETRY_INTERVAL).await,
--- a/gateway/src/serve/assembly.rs
+++ b/gateway/src/serve/assembly.rs
@@ -26,7 +26,7 @@
     let group = gossip_group(&config, &operator, log)?;
     let (reloads, sources) = Reloads::new(&config, log);
     let owner = operator.state.as_ref().map(|_| persistence::owner(&config));
-    let (phase, phases) = watch::channel(Phase::Open);
+    let (phase, phases) = watch::channel(Phase::Serving);
     let (events, received) = mpsc::channel(QUEUE_CAPACITY);
     if operator.engines == EngineWire::FlightSql {
         // Flight SQL has no progress reports: their absence must not be taken for an engine's silence.
--- a/gateway/src/serve/running.rs
+++ b/gateway/src/serve/running.rs
@@ -3,7 +3,7 @@
 use super::reload::Reloads;
 use crate::health::Health;
 use crate::multicore::Multicore;
-use crate::shutdown::{OVERLAP, Phase, ShutdownDeadlines};
+use crate::shutdown::{Phase, SHUTDOWN_OVERLAP, ShutdownDeadlines};
 use reedwalk_operations::{CapacityShare, ProcessStage};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
     /// or after the overlap: until then new clients have nowhere else to connect. SIGTERM came at `terminated_at`.
     pub async fn overlap(&self, terminated_at: Instant) {
         let deadlines = ShutdownDeadlines::new(terminated_at, self.longest_deadline);
-        self.phase.send_replace(Phase::Ending(deadlines));
+        self.phase.send_replace(Phase::ShuttingDown(deadlines));
         self.stage.send_replace(ProcessStage::Closing);
         self.gossip_closing.send_replace(true);
         let mut share = self.share.clone();
@@ -82,7 +82,7 @@
                 std::future::pending::<()>().await;
             }
         };
-        let _ = timeout_at(terminated_at + OVERLAP, relieved).await;
+        let _ = timeout_at(terminated_at + SHUTDOWN_OVERLAP, relieved).await;
     }
 
     /// Closes the fronts to new clients and waits until every accepted request is answered. SIGTERM came at `terminated_at`.
@@ -91,6 +91,6 @@
         self.phase.send_replace(Phase::Closing(deadlines));
         self.health.set_serving(false);
         // Each session holds a sender: when all are dropped, every accepted request has been answered.
-        let _ = timeout_at(deadlines.gone, self.sessions.recv()).await;
+        let _ = timeout_at(deadlines.exit_by, self.sessions.recv()).await;
     }
 }
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -1,60 +1,63 @@
-//! Signals to the running process, and its shutdown: SIGTERM announces a planned restart, SIGHUP a new configuration.
+//! Signal handling and shutdown. SIGTERM announces a planned restart, SIGHUP a new configuration.
 
 use std::time::Duration;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// New connections and requests keep coming for this long after SIGTERM.
-pub const OVERLAP: Duration = Duration::from_millis(750);
+/// Maximum time after SIGTERM during which new connections and requests are still accepted: until another process of the
+/// gateway accepts clients, they have nowhere else to connect.
+pub const SHUTDOWN_OVERLAP: Duration = Duration::from_millis(750);
 
-/// The platform counts a longest deadline as no more than this, and ends the process 0.7 s after that at the soonest.
+/// Upper limit of the longest request deadline, as the platform applies it: it kills the process no earlier than 0.7 s
+/// after the longest deadline, which counts as at most 3 s.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// Requests that are still open this long after the longest deadline are answered.
+/// Time after the longest deadline at which all requests that are still open get an answer.
 const ANSWER_MARGIN: Duration = Duration::from_millis(600);
-/// The process ends this long after it, whether all clients have read their answers or not.
+/// Time after the longest deadline at which the process exits, even if some clients have not read their answers. This is
+/// before the platform kills the process, 0.7 s after the longest deadline.
 const EXIT_MARGIN: Duration = Duration::from_millis(660);
 
 /// The phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Serving.
-    Open,
-    /// Asked to shut down; new connections and requests are still accepted.
-    Ending(ShutdownDeadlines),
-    /// Nothing new is accepted; accepted requests are finished, and idle sessions close.
+    /// Serving, with no shutdown requested.
+    Serving,
+    /// SIGTERM was received; new connections and requests are still accepted.
+    ShuttingDown(ShutdownDeadlines),
+    /// No new connections or requests are accepted; accepted requests are completed, and idle sessions are closed.
     Closing(ShutdownDeadlines),
 }
 
-/// The deadlines of a shutdown: what SIGKILL finds unanswered is lost.
+/// The deadlines of a shutdown. Requests without an answer when the platform sends SIGKILL are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownDeadlines {
-    /// When each request must have its answer, whatever its own deadline.
-    pub answered: Instant,
-    /// When the process must have ended.
-    pub gone: Instant,
+    /// When every request must have its answer, regardless of its own deadline.
+    pub answer_by: Instant,
+    /// When the process must exit.
+    pub exit_by: Instant,
 }
 
 impl ShutdownDeadlines {
     /// The deadlines of a process that received SIGTERM at `terminated_at`. `max_deadline` is the longest deadline of any
-    /// class; above `MAX_DEADLINE` it is cut to that.
+    /// class; it is capped at `MAX_DEADLINE`.
     pub fn new(terminated_at: Instant, max_deadline: Duration) -> Self {
         let last_deadline = terminated_at + max_deadline.min(MAX_DEADLINE);
-        Self { answered: last_deadline + ANSWER_MARGIN, gone: last_deadline + EXIT_MARGIN }
+        Self { answer_by: last_deadline + ANSWER_MARGIN, exit_by: last_deadline + EXIT_MARGIN }
     }
 }
 
 impl Phase {
-    /// The deadlines, if the process is shutting down.
-    pub fn end(self) -> Option<ShutdownDeadlines> {
+    /// The shutdown deadlines, if the process is shutting down.
+    pub fn deadlines(self) -> Option<ShutdownDeadlines> {
         match self {
-            Self::Open => None,
-            Self::Ending(end) | Self::Closing(end) => Some(end),
+            Self::Serving => None,
+            Self::ShuttingDown(deadlines) | Self::Closing(deadlines) => Some(deadlines),
         }
     }
 }
 
-/// The signals that the process handles. Once this exists none of them ends it.
+/// The signals that the process handles. Once this exists, none of them terminates the process by its default action.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -65,17 +68,17 @@
 /// What a signal asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalRequest {
-    /// Shut down, after the overlap.
+    /// Shut down, after [`SHUTDOWN_OVERLAP`].
     Shutdown,
     /// Read the configuration again.
     Reload,
 }
 
 impl Signals {
-    /// Listens from now on.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// Where the signals can't be watched.
+    /// A signal handler can't be installed.
     pub fn new() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -84,7 +87,7 @@
         })
     }
 
-    /// Waits for the next signal. Several of a kind that arrived meanwhile count as one.
+    /// Waits for the next signal. Several signals of one kind that arrived since the last call count as one.
     pub async fn next(&mut self) -> SignalRequest {
         tokio::select! {
             _ = self.terminate.recv() => SignalRequest::Shutdown,
@@ -94,13 +97,13 @@
     }
 }
 
-/// Returns when the fronts are to close, and not before this instant.
-pub async fn closed_to(phase: &mut watch::Receiver<Phase>, not_before: Instant) {
-    closing(phase).await;
+/// Waits until the fronts must close, and at least until `not_before`.
+pub async fn wait_until_closing_after(phase: &mut watch::Receiver<Phase>, not_before: Instant) {
+    wait_until_closing(phase).await;
     sleep_until(not_before).await;
 }
 
-/// Returns when the fronts are to close.
-pub async fn closing(phase: &mut watch::Receiver<Phase>) {
-    let _ = phase.wait_for(|p| matches!(p, Phase::Closing(_))).await;
+/// Waits until the fronts must close.
+pub async fn wait_until_closing(phase: &mut watch::Receiver<Phase>) {
+    let _ = phase.wait_for(|phase| matches!(phase, Phase::Closing(_))).await;
 }
--- a/gateway/tests/broker.rs
+++ b/gateway/tests/broker.rs
@@ -123,7 +123,7 @@
     let scheduler = Scheduler::new(deployment.scheduler.clone(), 7).unwrap();
     let metrics = Arc::new(Metrics::new(&deployment.sockets.classes));
     let (_share, share) = watch::channel(CapacityShare::default());
-    let (_phase, phase) = watch::channel(Phase::Open);
+    let (_phase, phase) = watch::channel(Phase::Serving);
     let endpoints = EndpointMailbox::default();
     let context = BrokerContext {
         endpoints: endpoints.clone(),
--- a/gateway/tests/shutdown.rs
+++ b/gateway/tests/shutdown.rs
@@ -22,12 +22,18 @@
     let terminated = Instant::now();
     for (longest, counted) in [(0, 0), (200, 200), (2_000, 2_000), (3_000, 3_000), (16_000, 3_000)] {
         let end = ShutdownDeadlines::new(terminated, ms(longest));
-        assert!(end.answered < end.gone && end.gone < terminated + ms(counted) + KILL_DELAY, "{longest}");
+        assert!(
+            end.answer_by < end.exit_by && end.exit_by < terminated + ms(counted) + KILL_DELAY,
+            "{longest}"
+        );
         // A request of the overlap that keeps to its deadline is not cut short.
-        assert!(end.answered >= terminated + ms(counted) + ms(600), "{longest}");
-        assert_eq!((Phase::Ending(end).end(), Phase::Closing(end).end()), (Some(end), Some(end)));
+        assert!(end.answer_by >= terminated + ms(counted) + ms(600), "{longest}");
+        assert_eq!(
+            (Phase::ShuttingDown(end).deadlines(), Phase::Closing(end).deadlines()),
+            (Some(end), Some(end))
+        );
     }
-    assert_eq!(Phase::Open.end(), None);
+    assert_eq!(Phase::Serving.deadlines(), None);
 }
 
 #[tokio::test]
