--- a/gateway/src/quotas.rs
+++ b/gateway/src/quotas.rs
@@ -1,5 +1,5 @@
-//! Quotas of teams: which team may send requests of which classes, and how much in a window. The broker checks them
-//! before the scheduler learns of a request.
+//! Quotas of teams: which request classes a team may use, and how many units in each time window. The broker checks them
+//! before it passes a request to the scheduler.
 
 use crate::message::{Charge, QuotaDecision, QuotaRequest, Rejection};
 use crate::shared_store::client::SharedStoreClient;
@@ -12,90 +12,93 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// How long returning units to the shared store may take; later they are lost to the window.
+/// Timeout for returning units to the shared store. Units that are not returned in time are lost for the window.
 const RETURN_TIMEOUT: Duration = Duration::from_millis(100);
-/// How often leases are checked for unused units.
+/// Interval at which leases are checked for unused units.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a quota's key outlives its window, in milliseconds: the clocks of gateways differ a little.
+/// How long a quota's key outlives its window, in milliseconds, because the clocks of the gateways differ slightly.
 const KEY_TTL_PAST_WINDOW_MS: u64 = 5_000;
-/// Units of a request whose class has no cost in the contract.
+/// Cost in units of a request whose class has no cost in the contract.
 const DEFAULT_COST: u64 = 1;
 
-/// One team's contract, as an operator writes it.
+/// A team's contract, as configured by the operator.
 #[derive(Clone, Debug)]
 pub struct Contract {
     /// The team: the user of a MySQL login, or the `reedwalk-team` of a Flight call.
     pub team: String,
-    /// Classes that it may send requests of.
+    /// The request classes that it may use.
     pub classes: Vec<String>,
-    /// Units that it may use in a window, over all gateways.
+    /// Units that it may use in a window, across all gateways.
     pub budget: u64,
-    /// The window's length.
+    /// Length of the window, in milliseconds.
     pub window_ms: u64,
-    /// Units that a request of a class costs; 1 for classes that are not listed.
+    /// Cost in units of a request of each class; 1 for classes that are not listed.
     pub cost: HashMap<String, u64>,
 }
 
-/// A contract that is not valid.
+/// An invalid contract.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadContract {
+pub struct InvalidContract {
     /// The team of the contract.
     pub team: String,
-    /// What is wrong with it.
-    pub fault: ContractFault,
+    /// Why it is not valid.
+    pub error: ContractError,
 }
 
-impl fmt::Display for BadContract {
+impl fmt::Display for InvalidContract {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "contract of {}: {}", self.team, self.fault)
+        write!(f, "contract of {}: {}", self.team, self.error)
     }
 }
 
-impl std::error::Error for BadContract {
+impl std::error::Error for InvalidContract {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        Some(&self.fault)
+        Some(&self.error)
     }
 }
 
 /// Why a contract is not valid.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ContractFault {
-    /// The window's length is 0.
-    NoWindow,
-    /// Another contract has the same team.
+pub enum ContractError {
+    /// The length of the window is 0.
+    EmptyWindow,
+    /// Another contract names the same team.
     Duplicate,
     /// The settings have no class of this name.
     UnknownClass(String),
-    /// A cost is given for this class, which the contract does not cover.
-    CostOfOtherClass(String),
+    /// The contract sets a cost for this class but does not cover the class.
+    CostOfUncoveredClass(String),
 }
 
-impl fmt::Display for ContractFault {
+impl fmt::Display for ContractError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoWindow => write!(f, "its window has no length"),
-            Self::Duplicate => write!(f, "there are two"),
-            Self::UnknownClass(name) => write!(f, "there is no class '{name}'"),
-            Self::CostOfOtherClass(name) => write!(f, "it prices '{name}', which it does not cover"),
+            Self::EmptyWindow => write!(f, "the window must be longer than 0"),
+            Self::Duplicate => write!(f, "the team has two contracts"),
+            Self::UnknownClass(name) => write!(f, "unknown class '{name}'"),
+            Self::CostOfUncoveredClass(name) => {
+                write!(f, "a cost is set for class '{name}', which the contract does not cover")
+            }
         }
     }
 }
 
-impl std::error::Error for ContractFault {}
+impl std::error::Error for ContractError {}
 
-/// The window that counts now.
+/// The current window.
 struct Window {
     number: u64,
-    left: Duration,
+    remaining: Duration,
 }
 
+/// A team's contract and its lease in this process.
 struct Account {
     costs: HashMap<ClassId, u64>,
     budget: u64,
     window_ms: u64,
     lease: Mutex<QuotaLease>,
-    /// Held by whoever leases units for all who wait.
-    leasing: tokio::sync::Mutex<()>,
+    /// Held by the task that leases units on behalf of all tasks that wait.
+    lease_turn: tokio::sync::Mutex<()>,
 }
 
 impl Account {
@@ -105,7 +108,7 @@
             budget: contract.budget,
             window_ms: contract.window_ms,
             lease: Mutex::new(QuotaLease::new(contract.budget, gateways, share)),
-            leasing: tokio::sync::Mutex::default(),
+            lease_turn: tokio::sync::Mutex::default(),
         }
     }
 
@@ -114,9 +117,9 @@
     }
 
     fn window(&self) -> Window {
-        let unix = unix_ms();
-        let number = self.lease().advance_to(unix / self.window_ms);
-        Window { number, left: Duration::from_millis(self.end_ms(number).saturating_sub(unix)) }
+        let now_ms = unix_ms();
+        let number = self.lease().advance_to(now_ms / self.window_ms);
+        Window { number, remaining: Duration::from_millis(self.end_ms(number).saturating_sub(now_ms)) }
     }
 
     /// Unix time in milliseconds at which a window ends.
@@ -132,62 +135,63 @@
 }
 
 impl QuotaManager {
-    /// Quotas by these contracts over these classes. Without a shared store each gateway grants its even share.
+    /// Quotas for these contracts and classes. Without a shared store, each gateway grants an even share of each budget.
     ///
     /// # Errors
-    /// Names the first contract that makes no sense.
+    /// The first contract that is not valid.
     pub fn new(
         contracts: &[Contract],
         classes: &[String],
         gateways: u32,
         store: Option<Arc<SharedStoreClient>>,
-    ) -> Result<Self, BadContract> {
+    ) -> Result<Self, InvalidContract> {
         let share = if store.is_some() { STORE_DOWN_SHARE } else { EVEN_SHARE };
         let mut by_team = HashMap::new();
         for contract in contracts {
-            let bad = |fault| BadContract { team: contract.team.clone(), fault };
+            let invalid = |error| InvalidContract { team: contract.team.clone(), error };
             if contract.window_ms == 0 {
-                return Err(bad(ContractFault::NoWindow));
+                return Err(invalid(ContractError::EmptyWindow));
             }
-            let costs = costs(contract, classes).map_err(bad)?;
+            let costs = costs_by_class(contract, classes).map_err(invalid)?;
             let account = Account::new(contract, costs, u64::from(gateways), share);
             if by_team.insert(Arc::from(contract.team.as_str()), account).is_some() {
-                return Err(bad(ContractFault::Duplicate));
+                return Err(invalid(ContractError::Duplicate));
             }
         }
         Ok(Self { by_team, store })
     }
 
-    /// Whether there is a contract with this team.
+    /// Whether this team has a contract.
     pub fn has_contract(&self, team: &str) -> bool {
         self.by_team.contains_key(team)
     }
 
-    /// What a request of this team and class costs.
+    /// The units to charge for a request of this team and class.
     ///
     /// # Errors
-    /// Where no contract covers it.
+    /// No contract covers the team and class.
     pub fn quota_request(&self, team: Option<&str>, class: ClassId) -> Result<QuotaRequest, Rejection> {
-        let found = team.and_then(|team| self.by_team.get_key_value(team));
-        let (team, account) = found.ok_or(Rejection::Contract)?;
+        let entry = team.and_then(|team| self.by_team.get_key_value(team));
+        let (team, account) = entry.ok_or(Rejection::Contract)?;
         let amount = *account.costs.get(&class).ok_or(Rejection::Contract)?;
         Ok(QuotaRequest { team: team.clone(), amount })
     }
 
-    /// Charges a request: from units that are leased here or, where the shared store is slow or gone, from this
-    /// gateway's own share.
+    /// Charges a request to the units that this gateway has leased or, if the shared store is slow or unreachable, to
+    /// this gateway's own share.
     pub async fn charge(self: &Arc<Self>, request: &QuotaRequest) -> QuotaDecision {
         let Some(account) = self.by_team.get(&request.team) else {
             return QuotaDecision::Exhausted(Duration::ZERO);
         };
         let wait = self.store.as_ref().map_or(Duration::ZERO, |store| store.options().wait);
         let deadline = Instant::now() + wait;
-        let mut usable = self.store.is_some();
+        let mut store_usable = self.store.is_some();
         loop {
             let now = Instant::now();
             let window = account.window();
-            let spent = account.lease().charge(request.amount, usable && now < deadline, now.into_std());
-            match spent {
+            let result =
+                account.lease().charge(request.amount, store_usable && now < deadline, now.into_std());
+            match result {
                 SpendResult::Granted => {
                     self.lease_ahead(request, account);
                     return QuotaDecision::Admitted(Charge {
@@ -195,16 +199,16 @@
                         window: window.number,
                     });
                 }
-                SpendResult::Denied => return QuotaDecision::Exhausted(window.left),
+                SpendResult::Denied => return QuotaDecision::Exhausted(window.remaining),
                 SpendResult::Lease(wanted) => {
-                    usable = self.lease(&request.team, account, request.amount, wanted, deadline).await;
+                    store_usable = self.lease(&request.team, account, request.amount, wanted, deadline).await;
                 }
             }
         }
     }
 
-    /// Leases units for all who wait, unless another has by the time that it is this one's turn. Returns `false` where
-    /// the store can't be asked.
+    /// Leases units on behalf of all tasks that wait, unless another task has already leased enough when this one gets
+    /// its turn. Returns `false` if the store can't be used.
     async fn lease(
         &self,
         team: &str,
@@ -214,7 +218,7 @@
         deadline: Instant,
     ) -> bool {
         let Some(store) = &self.store else { return false };
-        let Ok(_turn) = timeout_at(deadline, account.leasing.lock()).await else { return false };
+        let Ok(_turn) = timeout_at(deadline, account.lease_turn.lock()).await else { return false };
         let window = account.window().number;
         if account.lease().covers(amount) {
             return true;
@@ -230,31 +234,31 @@
         true
     }
 
-    /// Leases units before they are needed, so that requests find them here.
+    /// Leases units in the background before they are needed, so that requests need not wait for the store.
     fn lease_ahead(self: &Arc<Self>, request: &QuotaRequest, account: &Account) {
         let Some(store) = &self.store else { return };
         let Some(wanted) = account.lease().wanted_ahead(Instant::now().into_std()) else { return };
-        if account.leasing.try_lock().is_err() {
+        if account.lease_turn.try_lock().is_err() {
             return;
         }
         let (quotas, team) = (self.clone(), request.team.clone());
         let deadline = Instant::now() + store.options().wait;
         tokio::spawn(async move {
             if let Some(account) = quotas.by_team.get(&team) {
-                // All units that are here may be used before these come: this is as good as a request for them.
+                // The units that are left may be used up before these arrive, so the amount needed is all that is wanted.
                 quotas.lease(&team, account, wanted, wanted, deadline).await;
             }
         });
     }
 
-    /// Gives back what was charged for a request that never ran.
+    /// Refunds the charge of a request that never ran.
     pub fn refund(&self, charge: &Charge) {
         if let Some(account) = self.by_team.get(&charge.request.team) {
             account.lease().refund(charge.window, charge.request.amount);
         }
     }
 
-    /// Returns unused units to the shared store, for as long as the process runs.
+    /// Returns unused units to the shared store at intervals, as long as the process runs.
     pub async fn run(self: Arc<Self>) {
         let Some(store) = self.store.clone() else { return };
         loop {
@@ -273,16 +277,16 @@
     }
 }
 
-/// Units that a request of each covered class costs.
-fn costs(contract: &Contract, classes: &[String]) -> Result<HashMap<ClassId, u64>, ContractFault> {
+/// The cost in units of a request of each class that the contract covers.
+fn costs_by_class(contract: &Contract, classes: &[String]) -> Result<HashMap<ClassId, u64>, ContractError> {
     let mut costs = HashMap::new();
     for name in &contract.classes {
         let position = classes.iter().position(|class| class == name);
-        let class = position.ok_or_else(|| ContractFault::UnknownClass(name.clone()))?;
+        let class = position.ok_or_else(|| ContractError::UnknownClass(name.clone()))?;
         costs.insert(ClassId(class), contract.cost.get(name).copied().unwrap_or(DEFAULT_COST));
     }
     match contract.cost.keys().find(|class| !contract.classes.contains(class)) {
-        Some(name) => Err(ContractFault::CostOfOtherClass(name.clone())),
+        Some(name) => Err(ContractError::CostOfUncoveredClass(name.clone())),
         None => Ok(costs),
     }
 }
--- a/gateway/src/serve/mod.rs
+++ b/gateway/src/serve/mod.rs
@@ -15,7 +15,7 @@
 use crate::config::{Config, ConfigError};
 use crate::operator::Operator;
 use crate::operator::error::OperatorFileError;
-use crate::quotas::BadContract;
+use crate::quotas::InvalidContract;
 use crate::shutdown::{SignalRequest, Signals};
 use slog::{Logger, info};
 use std::fmt;
@@ -31,7 +31,7 @@
     /// The endpoint list of the configuration can't be read.
     Known(serde_json::Error),
     /// A contract is not valid.
-    Contract(BadContract),
+    Contract(InvalidContract),
     /// The URL of the shared store is not valid.
     Store(redis::RedisError),
     /// The operator's file asks for what the limits do not allow.
