--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -1,5 +1,5 @@
-//! The metrics of a gateway: atomics, written where something is known and read without waiting for anybody. Counters
-//! start at 0 with the process. The names in the console's text are part of the protocol.
+//! The metrics of a gateway: atomics that the subsystems update and the console reads without blocking. Counters start at
+//! 0 with the process. The names in the console's text are part of the protocol.
 
 use crate::message::Response;
 use reedwalk_scheduler::ClassId;
@@ -7,16 +7,16 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How a request ended for its client.
+/// The outcome of a request, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// With the whole result.
+    /// The client received the whole result.
     Completed,
     /// Rejected; the client may retry.
     Rejected,
-    /// Failed.
+    /// The request failed.
     Failed,
-    /// Its client had disconnected; it counts as none of the others.
+    /// The client disconnected before the end; counted under none of the other outcomes.
     Disconnected,
 }
 
@@ -38,7 +38,7 @@
     failed: AtomicU64,
 }
 
-/// Whether a metric counts since the start of the process, or tells a present value.
+/// Whether a metric is a count since the start of the process or a current value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MetricKind {
     Counter,
@@ -46,7 +46,7 @@
 }
 
 impl MetricKind {
-    /// The type code behind a figure in the console's text.
+    /// The type code after the value in the console's text.
     fn type_code(self) -> char {
         match self {
             Self::Counter => 'c',
@@ -69,7 +69,7 @@
         Self { name, value, kind: MetricKind::Counter }
     }
 
-    /// A present value.
+    /// A current value.
     pub fn gauge(name: &'static str, value: u64) -> Self {
         Self { name, value, kind: MetricKind::Gauge }
     }
@@ -81,26 +81,26 @@
     }
 }
 
-/// All metrics.
+/// All metrics of the process.
 #[derive(Debug, Default)]
 pub struct Metrics {
     classes: Vec<ClassCounters>,
-    started: AtomicU64,
-    ended: AtomicU64,
-    upstream: AtomicU64,
+    requests_started: AtomicU64,
+    requests_ended: AtomicU64,
+    upstream_requests: AtomicU64,
     members: AtomicU64,
-    unavailable: AtomicU64,
-    /// Of gossip; empty where there is none.
+    members_unavailable: AtomicU64,
+    /// Metrics of gossip; empty if gossip is off.
     gossip: Mutex<Vec<Metric>>,
-    /// Of persistence; empty where nothing is persisted.
+    /// Metrics of persistence; empty if nothing is persisted.
     persistence: Mutex<Vec<Metric>>,
-    /// Of recovery; empty where nothing is persisted.
+    /// Metrics of recovery; empty if nothing is persisted.
     recovery: Mutex<Vec<Metric>>,
 }
 
-/// A request that has started. Its end is counted once; dropped without one, its client has disconnected.
+/// A request that has started. Its outcome is counted once; if it is dropped without one, its client has disconnected.
 #[derive(Debug)]
-#[must_use = "dropped, it counts as a client that has disconnected"]
+#[must_use = "dropping it counts the client as disconnected"]
 pub struct CountedRequest {
     metrics: Arc<Metrics>,
     class: ClassId,
@@ -108,7 +108,7 @@
 }
 
 impl CountedRequest {
-    /// Counts how it ended. Only the first call counts.
+    /// Counts the outcome of the request. Calls after the first have no effect.
     pub fn end(&mut self, outcome: RequestOutcome) {
         if std::mem::replace(&mut self.has_ended, true) {
             return;
@@ -121,7 +121,7 @@
                 RequestOutcome::Disconnected => 0,
             };
         }
-        self.metrics.ended.fetch_add(1, Ordering::Relaxed);
+        self.metrics.requests_ended.fetch_add(1, Ordering::Relaxed);
     }
 }
 
@@ -136,21 +136,21 @@
 }
 
 impl Metrics {
-    /// All at 0, for these classes.
+    /// Metrics of these classes, all 0.
     pub fn new(classes: &[String]) -> Self {
         let class = |name: &String| ClassCounters { name: name.clone(), ..ClassCounters::default() };
         Self { classes: classes.iter().map(class).collect(), ..Self::default() }
     }
 
-    /// Counts a request that starts.
+    /// Counts a request as started.
     pub fn start_request(self: &Arc<Self>, class: ClassId) -> CountedRequest {
-        self.started.fetch_add(1, Ordering::Relaxed);
+        self.requests_started.fetch_add(1, Ordering::Relaxed);
         CountedRequest { metrics: self.clone(), class, has_ended: false }
     }
 
     /// Counts an attempt whose last byte was written to its engine.
     pub fn count_upstream_request(&self) {
-        self.upstream.fetch_add(1, Ordering::Relaxed);
+        self.upstream_requests.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Sets the number of listed engines.
@@ -158,9 +158,9 @@
         self.members.store(members as u64, Ordering::Relaxed);
     }
 
-    /// Sets the number of listed engines that nothing is sent to now.
+    /// Sets the number of listed engines that currently receive no attempts.
     pub fn set_unavailable(&self, unavailable: usize) {
-        self.unavailable.store(unavailable as u64, Ordering::Relaxed);
+        self.members_unavailable.store(unavailable as u64, Ordering::Relaxed);
     }
 
     /// Sets the metrics of gossip.
@@ -178,14 +178,15 @@
         *lock(&self.recovery) = metrics;
     }
 
-    /// Number of requests that have started and not yet ended.
+    /// Number of requests that have started but not ended.
     pub fn pending(&self) -> u64 {
-        // The ended first: what ends between the two reads would make the number too low, even negative.
-        let ended = self.ended.load(Ordering::Acquire);
-        self.started.load(Ordering::Acquire).saturating_sub(ended)
+        // `requests_ended` is read first: requests that end between the two reads would otherwise make the result too low,
+        // even negative.
+        let ended = self.requests_ended.load(Ordering::Acquire);
+        self.requests_started.load(Ordering::Acquire).saturating_sub(ended)
     }
 
-    /// A line for each metric: `svc.NAME:VALUE|c` for counters, `|g` for gauges.
+    /// The console's text, one line for each metric: `svc.NAME:VALUE|c` for counters, `svc.NAME:VALUE|g` for gauges.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let read = |value: &AtomicU64| value.load(Ordering::Relaxed);
@@ -196,11 +197,11 @@
                 let _ = writeln!(text, "svc.{name}.{}:{}|c", class.name, read(value));
             }
         }
-        let _ = writeln!(text, "svc.upstream_requests:{}|c", read(&self.upstream));
+        let _ = writeln!(text, "svc.upstream_requests:{}|c", read(&self.upstream_requests));
         let gauges = [
             ("pending", self.pending()),
             ("members", read(&self.members)),
-            ("members_unavailable", read(&self.unavailable)),
+            ("members_unavailable", read(&self.members_unavailable)),
         ];
         for (name, value) in gauges {
             let _ = writeln!(text, "svc.{name}:{value}|g");
--- a/gateway/src/metrics/tests.rs
+++ b/gateway/src/metrics/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
 #[test]
-fn every_end_is_counted_once_and_nothing_stays_pending() {
+fn each_outcome_is_counted_once_and_no_request_stays_pending() {
     let metrics = Arc::new(Metrics::new(&["lookup".to_owned(), "batch-post".to_owned()]));
-    let mut taken: Vec<_> = (0..6).map(|n| metrics.start_request(ClassId(n % 2))).collect();
+    let mut requests: Vec<_> = (0..6).map(|n| metrics.start_request(ClassId(n % 2))).collect();
     assert_eq!(metrics.pending(), 6);
-    taken[0].end(RequestOutcome::Completed);
-    taken[0].end(RequestOutcome::Failed);
-    taken[1].end(RequestOutcome::Rejected);
-    taken[2].end(RequestOutcome::Failed);
-    taken[3].end(RequestOutcome::Completed);
+    requests[0].end(RequestOutcome::Completed);
+    requests[0].end(RequestOutcome::Failed);
+    requests[1].end(RequestOutcome::Rejected);
+    requests[2].end(RequestOutcome::Failed);
+    requests[3].end(RequestOutcome::Completed);
     assert_eq!(metrics.pending(), 2);
-    drop(taken);
+    drop(requests);
     assert_eq!(metrics.pending(), 0);
     metrics.count_upstream_request();
     metrics.set_members(7);
