--- a/gateway/src/cli.rs
+++ b/gateway/src/cli.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time limit of `call`: a console answers within a second at any load.
+/// Time limit of `call`. The console answers within a second at any load.
 const CONSOLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The help text.
@@ -25,51 +25,53 @@
 usage: reedwalk COMMAND [OPTIONS]
 
   serve          run the gateway until SIGTERM
-  check-config   read and check the configuration, and print what it sets
+  check-config   read and validate the configuration, and print a summary
   call ADDRESS LINE...
                  send a command such as HEALTH or OFFLINE ID to the console of a gateway and print the answer;
-                 exits with 1 if that is FAILURE
+                 exits with 1 if the answer is FAILURE
   state show|verify|forget FOLDER
-                 the state that a gateway has persisted there for its next start; verify exits with 1 if any of
-                 it can't be read
+                 show, check or delete the state that a gateway has persisted in FOLDER for its next start;
+                 verify exits with 1 if any of it can't be read
   version        print the version
 
 options of serve and check-config:
-  --config FILE    the configuration; by default the file that GW_CONFIG names
-  --operator FILE  optional features, such as the Flight SQL front
-  --log LEVEL      error, warning, info (the default) or debug
+  --config FILE    the configuration; defaults to the file named by GW_CONFIG
+  --operator FILE  the operator's file, which enables optional features such as the Flight SQL front
+  --log LEVEL      log level: error, warning, info (the default) or debug
 ";
 
-/// Why the arguments were not understood.
+/// Why the arguments are not valid.
 #[derive(Debug)]
 enum ArgumentError {
-    /// No command is named, or an unknown one.
+    /// The command is missing or unknown.
     NoCommand,
-    /// Nothing takes this argument.
-    Unexpected(OsString),
-    /// `--log` names no level.
+    /// The command does not take this argument.
+    UnexpectedArgument(OsString),
+    /// `--log` does not name a log level.
     UnknownLevel(String),
     /// `call` is not followed by the address of a console.
-    NoConsoleAddress,
-    /// `state` is not followed by one of its commands and a folder.
-    StateUsage,
-    /// An option lacks its value, or the value can't be read.
-    Parse(pico_args::Error),
+    MissingConsoleAddress,
+    /// `state` is not followed by one of its subcommands and a folder.
+    InvalidStateCommand,
+    /// An option has no value, or its value can't be parsed.
+    InvalidOption(pico_args::Error),
 }
 
 impl fmt::Display for ArgumentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoCommand => f.write_str(USAGE),
-            Self::Unexpected(argument) => {
-                write!(f, "not understood: {}\n\n{USAGE}", argument.to_string_lossy())
+            Self::UnexpectedArgument(argument) => {
+                write!(f, "unexpected argument: {}\n\n{USAGE}", argument.to_string_lossy())
             }
-            Self::UnknownLevel(name) => write!(f, "no such level: {name}"),
-            Self::NoConsoleAddress => {
-                write!(f, "call: expected the address of a console first, as in 127.0.0.1:9800")
+            Self::UnknownLevel(name) => write!(f, "unknown log level: {name}"),
+            Self::MissingConsoleAddress => {
+                write!(f, "call: expected the address of a console, such as 127.0.0.1:9800")
             }
-            Self::StateUsage => write!(f, "state: expected show, verify or forget, and a folder"),
-            Self::Parse(error) => write!(f, "{error}"),
+            Self::InvalidStateCommand => {
+                write!(f, "state: expected show, verify or forget, followed by a folder")
+            }
+            Self::InvalidOption(error) => write!(f, "{error}"),
         }
     }
 }
@@ -77,7 +79,7 @@
 impl std::error::Error for ArgumentError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            Self::Parse(error) => Some(error),
+            Self::InvalidOption(error) => Some(error),
             _ => None,
         }
     }
@@ -86,21 +88,21 @@
 /// Why a command failed.
 #[derive(Debug)]
 enum CliError {
-    /// The arguments were not understood.
+    /// The arguments are not valid.
     Arguments(ArgumentError),
-    /// The configuration can't be used.
+    /// The configuration can't be read or is not valid.
     Config(ConfigError),
-    /// The operator's file asks for what the configuration does not allow.
+    /// The operator's file requires what the configuration does not allow.
     Operator(PathBuf, OperatorFileError),
-    /// The program could not serve.
+    /// The gateway could not start or keep serving.
     Serve(ServeError),
-    /// A console could not be called.
+    /// The call to a console failed.
     Call(SocketAddr, std::io::Error),
     /// The console answered FAILURE.
-    CallRefused,
+    ConsoleFailure,
     /// A folder of persisted state could not be used.
     Persistence(PersistenceError),
-    /// A runtime could not be started.
+    /// The async runtime could not be started.
     Runtime(std::io::Error),
 }
 
@@ -112,7 +114,7 @@
             Self::Operator(path, error) => write!(f, "{}: {error}", path.display()),
             Self::Serve(error) => write!(f, "{error}"),
             Self::Call(address, error) => write!(f, "{address}: {error}"),
-            Self::CallRefused => write!(f, "the answer is no"),
+            Self::ConsoleFailure => write!(f, "the console answered FAILURE"),
             Self::Persistence(error) => write!(f, "{error}"),
             Self::Runtime(error) => write!(f, "{error}"),
         }
@@ -122,7 +124,7 @@
 impl std::error::Error for CliError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            Self::CallRefused => None,
+            Self::ConsoleFailure => None,
             Self::Arguments(error) => Some(error),
             Self::Config(error) => Some(error),
             Self::Operator(_, error) => Some(error),
@@ -141,7 +143,7 @@
 
 impl From<pico_args::Error> for CliError {
     fn from(error: pico_args::Error) -> Self {
-        Self::Arguments(ArgumentError::Parse(error))
+        Self::Arguments(ArgumentError::InvalidOption(error))
     }
 }
 
@@ -165,43 +167,43 @@
 }
 
 impl Options {
-    /// Reads the options, and rejects anything else.
-    fn read(mut args: pico_args::Arguments) -> Result<Self, CliError> {
-        let mut path =
+    /// Parses the options and rejects any other argument.
+    fn parse(mut args: pico_args::Arguments) -> Result<Self, CliError> {
+        let mut path_option =
             |name| args.opt_value_from_os_str(name, |text| Ok::<_, ConfigError>(PathBuf::from(text)));
-        let config = path("--config")?.or(std::env::var_os("GW_CONFIG").map(PathBuf::from));
-        let operator = path("--operator")?;
+        let config = path_option("--config")?.or(std::env::var_os("GW_CONFIG").map(PathBuf::from));
+        let operator = path_option("--operator")?;
         let level: Option<String> = args.opt_value_from_str("--log")?;
         let level = match level {
             Some(name) => name.parse().map_err(|()| ArgumentError::UnknownLevel(name))?,
             None => Level::Info,
         };
         let config = config.ok_or(ConfigError::NoFile)?;
-        finish(args)?;
+        reject_remaining(args)?;
         Ok(Self { operator, config, level })
     }
 }
 
-/// Rejects arguments that were not read.
-fn finish(args: pico_args::Arguments) -> Result<(), ArgumentError> {
+/// Rejects arguments that no option has consumed.
+fn reject_remaining(args: pico_args::Arguments) -> Result<(), ArgumentError> {
     match args.finish().into_iter().next() {
         None => Ok(()),
-        Some(argument) => Err(ArgumentError::Unexpected(argument)),
+        Some(argument) => Err(ArgumentError::UnexpectedArgument(argument)),
     }
 }
 
-/// Reads the configuration, with the name and the addresses of the environment.
-fn read(path: &Path) -> Result<Config, ConfigError> {
+/// Reads the configuration file, with the overrides from the environment variables.
+fn read_config(path: &Path) -> Result<Config, ConfigError> {
     config::read(path, Environment::read()?)
 }
 
 /// Reads and validates the configuration and the operator's file.
-fn load(options: &Options) -> Result<(Config, Operator), CliError> {
+fn load_config(options: &Options) -> Result<(Config, Operator), CliError> {
     let operator = match &options.operator {
         Some(path) => operator::read_file(path)?,
         None => Operator::default(),
     };
-    let config = read(&options.config).and_then(Config::validate)?;
+    let config = read_config(&options.config).and_then(Config::validate)?;
     if let Some(path) = &options.operator {
         let operator_error = |error| CliError::Operator(path.clone(), error);
         operator.check(&config.limits).map_err(operator_error)?;
@@ -213,7 +215,7 @@
 }
 
 fn check_config(args: pico_args::Arguments) -> Result<(), CliError> {
-    let (config, operator) = load(&Options::read(args)?)?;
+    let (config, operator) = load_config(&Options::parse(args)?)?;
     let classes = config.deployment.sockets.classes.join(", ");
     println!("{}: listens on {}, classes {classes}", config.name, config.listen);
     match config.console {
@@ -245,41 +247,44 @@
     let Ok(Some(group)) = gossip::group(options, config) else {
         return "off, disabled by the settings".into();
     };
-    let (count, listen, most) = (group.addresses.len(), group.listen, group.max_bytes_per_second());
-    let signed = group.describe_signing();
-    format!("number {} of {count}, listens on {listen}, {signed}, at most {most} bytes a second", group.me)
+    let (count, listen, max_rate) = (group.addresses.len(), group.listen, group.max_bytes_per_second());
+    let signing = group.describe_signing();
+    format!(
+        "number {} of {count}, listens on {listen}, {signing}, at most {max_rate} bytes a second",
+        group.me
+    )
 }
 
 fn call(args: pico_args::Arguments) -> Result<(), CliError> {
     let mut words = args.finish().into_iter().map(|word| word.to_string_lossy().into_owned());
     let address = words.next().and_then(|address| address.parse().ok());
-    let address = address.ok_or(ArgumentError::NoConsoleAddress)?;
+    let address = address.ok_or(ArgumentError::MissingConsoleAddress)?;
     let line = words.collect::<Vec<_>>().join(" ");
     let answer = runtime()?.block_on(console::call(address, &line, Instant::now() + CONSOLE_TIMEOUT));
     let answer = answer.map_err(|error| CliError::Call(address, error))?;
     print!("{answer}");
-    if answer.starts_with(console::FAILURE) { Err(CliError::CallRefused) } else { Ok(()) }
+    if answer.starts_with(console::FAILURE) { Err(CliError::ConsoleFailure) } else { Ok(()) }
 }
 
 fn state(args: pico_args::Arguments) -> Result<(), CliError> {
-    let words: Vec<_> = args.finish();
-    let [command, folder] = &words[..] else { return Err(ArgumentError::StateUsage.into()) };
+    let arguments: Vec<_> = args.finish();
+    let [command, folder] = &arguments[..] else { return Err(ArgumentError::InvalidStateCommand.into()) };
     let folder = Path::new(folder);
     match command.to_str() {
         Some("show") => print!("{}", persistence::show(folder, CheckMode::Show)?),
         Some("verify") => print!("{}", persistence::show(folder, CheckMode::Verify)?),
         Some("forget") => print!("{}", persistence::forget(folder)?),
-        _ => return Err(ArgumentError::StateUsage.into()),
+        _ => return Err(ArgumentError::InvalidStateCommand.into()),
     }
     Ok(())
 }
 
 fn serve(args: pico_args::Arguments) -> Result<(), CliError> {
-    let options = Options::read(args)?;
-    let (config, operator) = load(&options)?;
+    let options = Options::parse(args)?;
+    let (config, operator) = load_config(&options)?;
     let log = logging::root(options.level);
-    let read_again = || read(&options.config);
-    runtime()?.block_on(serve::serve(config, operator, read_again, log)).map_err(CliError::Serve)
+    let reread_config = || read_config(&options.config);
+    runtime()?.block_on(serve::serve(config, operator, reread_config, log)).map_err(CliError::Serve)
 }
 
 fn run(mut args: pico_args::Arguments) -> Result<(), CliError> {
@@ -300,7 +305,7 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(CliError::Runtime)
 }
 
-/// Runs the program with these arguments.
+/// Runs the command that these arguments name, and prints the error if it fails.
 pub fn main(args: Vec<OsString>) -> ExitCode {
     match run(pico_args::Arguments::from_vec(args)) {
         Ok(()) => ExitCode::SUCCESS,
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration of a process: the file that `GW_CONFIG` names, and the variables of the environment that take
-//! precedence over it.
+//! The configuration of a process: the file named by `GW_CONFIG`, and the environment variables that take precedence over
+//! it.
 
 use crate::discovery::endpoint_list::EndpointList;
 use crate::limits::Limits;
@@ -12,41 +12,41 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Why a start failed.
+/// Why a configuration can't be used.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// `GW_CONFIG` is not set.
+    /// Neither `--config` nor `GW_CONFIG` names a file.
     NoFile,
-    /// The file could not be read.
+    /// A file can't be read.
     Unreadable(PathBuf, std::io::Error),
-    /// It is not the JSON that is expected.
+    /// The configuration file is not JSON of the expected form.
     Malformed(PathBuf, serde_json::Error),
-    /// An operator's file is not as expected.
+    /// The operator's file is not valid.
     Operator(PathBuf, OperatorFileError),
-    /// Its settings object can't be read.
-    Settings(ReadError),
-    /// Its settings are not valid.
+    /// The settings object can't be read.
+    UnreadableSettings(ReadError),
+    /// The settings are not valid.
     InvalidSettings(SettingsError),
-    /// Its initial endpoint list can't be read.
-    Known(serde_json::Error),
-    /// Its seed is not a hexadecimal number.
-    Seed,
-    /// A variable of the environment holds no valid address: its name, and what is wrong.
-    Address(&'static str, std::net::AddrParseError),
+    /// The initial endpoint list can't be read.
+    InitialEndpoints(serde_json::Error),
+    /// The seed is not a hexadecimal number.
+    InvalidSeed,
+    /// An environment variable does not hold a valid address: the name of the variable, and the parse error.
+    InvalidAddress(&'static str, std::net::AddrParseError),
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoFile => write!(f, "GW_CONFIG names no file"),
+            Self::NoFile => write!(f, "no configuration file: set GW_CONFIG or pass --config"),
             Self::Unreadable(path, error) => write!(f, "{}: {error}", path.display()),
             Self::Malformed(path, error) => write!(f, "{}: {error}", path.display()),
             Self::Operator(path, error) => write!(f, "{}: {error}", path.display()),
-            Self::Settings(error) => write!(f, "{error}"),
+            Self::UnreadableSettings(error) => write!(f, "{error}"),
             Self::InvalidSettings(error) => write!(f, "{error}"),
-            Self::Known(error) => write!(f, "known: {error}"),
-            Self::Seed => write!(f, "seed: no hexadecimal number"),
-            Self::Address(variable, error) => write!(f, "{variable}: {error}"),
+            Self::InitialEndpoints(error) => write!(f, "known: {error}"),
+            Self::InvalidSeed => write!(f, "seed: not a hexadecimal number"),
+            Self::InvalidAddress(variable, error) => write!(f, "{variable}: {error}"),
         }
     }
 }
@@ -54,18 +54,18 @@
 impl std::error::Error for ConfigError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            Self::NoFile | Self::Seed => None,
+            Self::NoFile | Self::InvalidSeed => None,
             Self::Unreadable(_, error) => Some(error),
-            Self::Malformed(_, error) | Self::Known(error) => Some(error),
+            Self::Malformed(_, error) | Self::InitialEndpoints(error) => Some(error),
             Self::Operator(_, error) => Some(error),
-            Self::Settings(error) => Some(error),
+            Self::UnreadableSettings(error) => Some(error),
             Self::InvalidSettings(error) => Some(error),
-            Self::Address(_, error) => Some(error),
+            Self::InvalidAddress(_, error) => Some(error),
         }
     }
 }
 
-/// The configuration file, as it is written.
+/// The contents of the configuration file.
 #[derive(Deserialize)]
 struct ConfigFile {
     #[serde(default)]
@@ -87,47 +87,47 @@
 /// The configuration of a process.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The gateway's name, the same after a restart.
+    /// The gateway's name; it stays the same across restarts.
     pub name: String,
-    /// Where clients connect.
+    /// The address that MySQL clients connect to.
     pub listen: SocketAddr,
-    /// For random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// The limits of the process.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// Where the name server listens.
-    pub names: Option<SocketAddr>,
-    /// Where operators connect; without it the console is off.
+    /// Address of the name server.
+    pub name_server: Option<SocketAddr>,
+    /// Address of the operators' console; the console is off without it.
     pub console: Option<SocketAddr>,
-    /// Where other gateways reach this one, if the deployment says so.
+    /// The address at which other gateways reach this one, if it is configured.
     pub peer_listen: Option<SocketAddr>,
-    /// One address for each gateway of the fleet, this one included.
+    /// The address of each gateway of the fleet, including this one.
     pub peers: Vec<SocketAddr>,
-    /// Directory of the files that a process leaves for the next one: `TMPDIR`. Used only with the console.
-    pub folder: PathBuf,
-    /// The initial endpoint list: the name server's events up to now.
-    pub known: Option<serde_json::Value>,
-    /// The settings object, read.
+    /// Directory for the files that a process leaves for its successor: `TMPDIR`. Used only if the console is on.
+    pub temp_dir: PathBuf,
+    /// The initial endpoint list: the events that the name server has sent so far.
+    pub initial_endpoints: Option<serde_json::Value>,
+    /// The parsed settings object.
     pub deployment: Deployment,
 }
 
 impl Config {
-    /// Checks what is otherwise read only when it is used: the settings and the initial endpoint list.
+    /// Validates the settings and the initial endpoint list, which are otherwise checked only when they are used.
     ///
     /// # Errors
-    /// Says what is wrong with it.
+    /// The settings or the endpoint list are not valid.
     pub fn validate(self) -> Result<Self, ConfigError> {
         Scheduler::new(self.deployment.scheduler.clone(), self.seed).map_err(ConfigError::InvalidSettings)?;
-        if let Some(known) = &self.known {
+        if let Some(initial_endpoints) = &self.initial_endpoints {
             EndpointList::new(Arc::new(self.deployment.sockets.clone()))
-                .start(known)
-                .map_err(ConfigError::Known)?;
+                .start(initial_endpoints)
+                .map_err(ConfigError::InitialEndpoints)?;
         }
         Ok(self)
     }
 }
 
-/// The variables of the environment, which take precedence over the configuration file.
+/// The environment variables, which take precedence over the configuration file.
 #[derive(Clone, Debug, Default)]
 pub struct Environment {
     /// `GW_NAME`.
@@ -139,28 +139,29 @@
 }
 
 impl Environment {
-    /// Reads the environment.
+    /// Reads the environment variables.
     ///
     /// # Errors
-    /// Names the variable that holds no valid address.
+    /// A variable does not hold a valid address.
     pub fn read() -> Result<Self, ConfigError> {
         let address = |variable: &'static str| {
-            let text = std::env::var(variable).ok().filter(|t| !t.is_empty());
-            text.map(|t| t.parse().map_err(|e| ConfigError::Address(variable, e))).transpose()
+            let text = std::env::var(variable).ok().filter(|text| !text.is_empty());
+            text.map(|text| text.parse().map_err(|error| ConfigError::InvalidAddress(variable, error)))
+                .transpose()
         };
         let (listen, console) = (address("GW_LISTEN")?, address("GW_CONSOLE")?);
         Ok(Self { name: std::env::var("GW_NAME").ok(), listen, console })
     }
 }
 
-/// Reads a configuration file; the environment takes precedence over it.
+/// Reads a configuration file; values from the environment take precedence.
 ///
 /// # Errors
-/// Says what is wrong with it.
+/// The file can't be read, or its seed or settings can't be parsed.
 pub fn read(path: &Path, environment: Environment) -> Result<Config, ConfigError> {
-    let text = std::fs::read(path).map_err(|e| ConfigError::Unreadable(path.into(), e))?;
+    let text = std::fs::read(path).map_err(|error| ConfigError::Unreadable(path.into(), error))?;
     let file: ConfigFile =
-        serde_json::from_slice(&text).map_err(|e| ConfigError::Malformed(path.into(), e))?;
+        serde_json::from_slice(&text).map_err(|error| ConfigError::Malformed(path.into(), error))?;
     let seed = if file.seed.is_empty() { "0" } else { &file.seed };
     Ok(Config {
         name: environment.name.unwrap_or(file.name),
@@ -168,11 +169,11 @@
         console: environment.console.or(file.console),
         peer_listen: file.peer_listen,
         peers: file.peers,
-        folder: std::env::temp_dir(),
-        seed: u64::from_str_radix(seed, 16).map_err(|_| ConfigError::Seed)?,
+        temp_dir: std::env::temp_dir(),
+        seed: u64::from_str_radix(seed, 16).map_err(|_| ConfigError::InvalidSeed)?,
         limits: file.limits,
-        names: file.names,
-        known: file.known,
-        deployment: reedwalk_settings::read(&file.settings).map_err(ConfigError::Settings)?,
+        name_server: file.names,
+        initial_endpoints: file.known,
+        deployment: reedwalk_settings::read(&file.settings).map_err(ConfigError::UnreadableSettings)?,
     })
 }
--- a/gateway/src/hot_restart.rs
+++ b/gateway/src/hot_restart.rs
@@ -1,6 +1,6 @@
-//! Hot restart: two processes of one gateway at one address. Each holds a lock on a file of its own, which the kernel
-//! releases when the process ends, however it ends, and writes its stage there; each reads the others' files and takes
-//! its share of the gateway's capacity.
+//! Hot restart: two processes of the same gateway listen at one address while the new one takes over. Each process locks
+//! a file of its own and writes its stage into it; the kernel releases the lock when the process ends, even after a
+//! crash. Each process reads the files of the others to determine its share of the gateway's capacity.
 
 use reedwalk_operations::{CapacityShare, ProcessStage, capacity_share};
 use slog::{Logger, info, warn};
@@ -11,23 +11,24 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// Processes at a time; more than two only where one could not end.
+/// Maximum number of processes at a time. There are more than two only if an earlier one failed to exit.
 const MAX_PROCESSES: usize = 4;
-/// How often the other processes' files are read.
+/// Interval between reads of the other processes' files.
 const SCAN_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a process that finds another one waits before it accepts clients: by then the other has released half of the capacity.
+/// Delay before a process that found another one running accepts clients. By then the other process has released half of
+/// the capacity.
 pub const HANDOVER_DELAY: Duration = Duration::from_millis(200);
-/// Bytes of a stage in a process's file.
+/// Length of the stage in a process file, in bytes.
 const STAGE_BYTES: usize = 8;
 
-/// The file of this process, whose lock it holds.
+/// The locked file of this process.
 #[derive(Debug)]
 struct OwnFile {
     slot: usize,
     file: File,
 }
 
-/// This process among those of its gateway.
+/// This process's view of the processes of its gateway.
 #[derive(Debug)]
 pub struct HotRestart {
     paths: Vec<PathBuf>,
@@ -39,8 +40,8 @@
     log: Logger,
 }
 
-/// The stage as it is written in the file.
-fn stage_text(stage: ProcessStage) -> &'static [u8; STAGE_BYTES] {
+/// The encoding of a stage in a process file.
+fn encode_stage(stage: ProcessStage) -> &'static [u8; STAGE_BYTES] {
     match stage {
         ProcessStage::Starting => b"starting",
         ProcessStage::Serving => b"serving ",
@@ -48,61 +49,63 @@
     }
 }
 
-/// The stage that a file holds. One that can't be read is being written for the first time.
-fn read_stage(bytes: &[u8]) -> ProcessStage {
+/// Decodes the stage in a process file. A file with no valid stage is being written for the first time.
+fn decode_stage(bytes: &[u8]) -> ProcessStage {
     let stages = [ProcessStage::Serving, ProcessStage::Closing];
-    stages.into_iter().find(|stage| stage_text(*stage) == bytes).unwrap_or(ProcessStage::Starting)
+    stages.into_iter().find(|stage| encode_stage(*stage) == bytes).unwrap_or(ProcessStage::Starting)
 }
 
-/// Opens and locks a process's file, if no other process holds it.
-fn take_file(path: &Path) -> Option<File> {
+/// Opens and locks a process file; `None` if another process holds it.
+fn lock_process_file(path: &Path) -> Option<File> {
     let file = OpenOptions::new().create(true).truncate(false).read(true).write(true).open(path).ok()?;
     file.try_lock().ok()?;
     Some(file)
 }
 
-/// The stage of the process that holds a file, if one does.
-fn stage_of_holder(path: &Path) -> Option<ProcessStage> {
+/// The stage of the process that holds the lock on this file; `None` if no process does.
+fn stage_of_lock_holder(path: &Path) -> Option<ProcessStage> {
     let mut file = File::open(path).ok()?;
-    // A lock that can be had belongs to a process that has ended.
+    // A lock that can be acquired belonged to a process that has ended.
     let Err(TryLockError::WouldBlock) = file.try_lock_shared() else { return None };
     let mut bytes = [0; STAGE_BYTES];
     let length = file.read(&mut bytes).unwrap_or_default();
-    Some(read_stage(&bytes[..length]))
+    Some(decode_stage(&bytes[..length]))
 }
 
 impl HotRestart {
-    /// Takes a file in this folder whose name begins with `stem`. A process that gets none counts as the only one.
-    pub fn enter(folder: &Path, stem: &str, log: Logger) -> Self {
+    /// Locks a free process file in this folder, with a name that begins with `stem`. If none is free, this process
+    /// behaves as if it were the only one.
+    pub fn register(folder: &Path, stem: &str, log: Logger) -> Self {
         let path = |slot| folder.join(format!("{stem}.process-{slot}"));
         let paths: Vec<_> = (0..MAX_PROCESSES).map(path).collect();
-        let take = |(slot, path): (usize, &PathBuf)| Some(OwnFile { slot, file: take_file(path)? });
-        let own = paths.iter().enumerate().find_map(take);
+        let lock_slot =
+            |(slot, path): (usize, &PathBuf)| Some(OwnFile { slot, file: lock_process_file(path)? });
+        let own = paths.iter().enumerate().find_map(lock_slot);
         if own.is_none() {
             warn!(log, "no process slot free, running as the only process");
         }
         let (share, _) = watch::channel(CapacityShare::default());
         let stage = ProcessStage::Starting;
-        let mut entered = Self { paths, own, stage, others: Vec::new(), share, log };
-        entered.set_stage(stage);
-        entered
+        let mut hot_restart = Self { paths, own, stage, others: Vec::new(), share, log };
+        hot_restart.set_stage(stage);
+        hot_restart
     }
 
-    /// This process's share of the capacity, as it changes.
+    /// A receiver of this process's share of the capacity.
     pub fn share(&self) -> watch::Receiver<CapacityShare> {
         self.share.subscribe()
     }
 
-    /// Whether another process of this gateway is running.
-    pub fn is_second(&self) -> bool {
+    /// Whether other processes of this gateway are running.
+    pub fn has_other_processes(&self) -> bool {
         !self.others.is_empty()
     }
 
-    /// Writes the stage of this process.
+    /// Changes the stage of this process and writes it to its file.
     pub fn set_stage(&mut self, stage: ProcessStage) {
         self.stage = stage;
         if let Some(OwnFile { file, .. }) = &mut self.own {
-            let written = file.seek(SeekFrom::Start(0)).and_then(|_| file.write_all(stage_text(stage)));
+            let written = file.seek(SeekFrom::Start(0)).and_then(|_| file.write_all(encode_stage(stage)));
             if let Err(error) = written {
                 warn!(self.log, "process stage not written"; "error" => %error);
             }
@@ -110,11 +113,11 @@
         self.scan();
     }
 
-    /// Reads the files of the other processes.
+    /// Reads the files of the other processes and updates this process's share.
     pub fn scan(&mut self) {
         let Some(own) = &self.own else { return };
         let other_files = self.paths.iter().enumerate().filter(|(slot, _)| *slot != own.slot);
-        let others: Vec<_> = other_files.filter_map(|(_, path)| stage_of_holder(path)).collect();
+        let others: Vec<_> = other_files.filter_map(|(_, path)| stage_of_lock_holder(path)).collect();
         let share = capacity_share(self.stage, &others);
         if self.others != others {
             info!(self.log, "other processes changed"; "others" => ?others, "capacity_share" => share.share);
@@ -123,7 +126,8 @@
         self.share.send_if_modified(|current| std::mem::replace(current, share) != share);
     }
 
-    /// Scans at intervals and writes each new stage, until the sender of stages is dropped.
+    /// Scans the other processes' files at intervals and writes each new stage of this process, until the sender of stages
+    /// is dropped.
     pub async fn watch(mut self, mut stages: watch::Receiver<ProcessStage>) {
         let mut next_scan = Instant::now();
         loop {
--- a/gateway/src/multicore.rs
+++ b/gateway/src/multicore.rs
@@ -1,5 +1,6 @@
-//! The runtimes that a gateway runs on. Each core is a thread with a runtime of its own; core 0 runs the broker, and
-//! connections live on whichever core `reedwalk-multicore` places them. With one core all of it is the caller's runtime.
+//! The async runtimes of a gateway. Each core is a thread with its own single-threaded runtime. Core 0 runs the broker;
+//! `reedwalk-multicore` decides on which core a connection is placed. With one core, everything runs on the caller's
+//! runtime.
 
 use reedwalk_multicore::{Change, ConnectionLoad, LoadTable, StallDetector, shares};
 use slog::{Logger, error, info, warn};
@@ -13,22 +14,22 @@
 use tokio::task::{AbortHandle, JoinHandle};
 use tokio::time::{Instant, sleep_until};
 
-/// How often each core writes its heartbeat, and how often that is checked.
+/// Interval at which each core writes its heartbeat and at which the heartbeats are checked.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// A core without a heartbeat for this long has stalled.
+/// A core is considered stalled after this long without a heartbeat.
 const STALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Descriptors that a core needs at least: its own, and connections worth a core.
+/// Minimum number of file descriptors for each core: its own, and enough connections to make a core worthwhile.
 pub const MIN_DESCRIPTORS_PER_CORE: usize = 64;
 
-/// The heartbeat of a core's thread, for the task that watches it.
+/// The heartbeat of a core's thread, read by the task that watches the cores.
 #[derive(Debug)]
 struct Heartbeat {
-    /// Microseconds from the start of all cores.
-    at: AtomicU64,
+    /// Time of the last heartbeat, in microseconds since the cores started.
+    last_us: AtomicU64,
     ended: AtomicBool,
 }
 
-/// Marks the end of a core's thread, also if that ends by a panic.
+/// Marks a core's thread as ended when it is dropped, including when the thread panics.
 struct MarkEndedOnDrop(Arc<Heartbeat>);
 
 impl Drop for MarkEndedOnDrop {
@@ -41,7 +42,7 @@
 struct Core {
     handle: Handle,
     heartbeat: Arc<Heartbeat>,
-    /// Dropped to end the core.
+    /// Dropping the sender stops the core.
     stop: Mutex<Option<oneshot::Sender<()>>>,
 }
 
@@ -52,11 +53,11 @@
     epoch: Instant,
 }
 
-/// All cores; cheap to clone. Without threads of its own, it is the runtime that it is used on.
+/// All cores; cheap to clone. With a single core it has no threads of its own and uses the caller's runtime.
 #[derive(Clone, Debug)]
 pub struct Multicore(Arc<Inner>);
 
-/// The core that a connection was placed on, until the last copy of this is dropped.
+/// A connection's place on a core. The connection counts towards the core's load until the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct ConnectionSlot {
     load: Option<Arc<ConnectionLoad>>,
@@ -64,12 +65,12 @@
 }
 
 impl ConnectionSlot {
-    /// On the runtime that this is used on.
+    /// A slot on the caller's runtime.
     const CURRENT: Self = Self { load: None, handle: None };
 }
 
 impl Multicore {
-    /// Everything on the runtime that this is used on.
+    /// A single core: everything runs on the caller's runtime.
     pub fn single() -> Self {
         Self(Arc::new(Inner {
             cores: Vec::new(),
@@ -78,10 +79,10 @@
         }))
     }
 
-    /// Starts `count` cores; up to one is [`Multicore::single`].
+    /// Starts `count` cores; 0 or 1 is the same as [`Multicore::single`].
     ///
     /// # Errors
-    /// Where a thread or its runtime can't be started.
+    /// A thread or its runtime can't be started.
     pub fn start(count: usize) -> std::io::Result<Self> {
         if count <= 1 {
             return Ok(Self::single());
@@ -96,7 +97,7 @@
         !self.0.cores.is_empty()
     }
 
-    /// Starts the broker's task, on core 0.
+    /// Starts the broker's task on core 0.
     pub fn spawn_broker<T: Send + 'static>(
         &self,
         task: impl Future<Output = T> + Send + 'static,
@@ -114,15 +115,15 @@
         }
         let load_table = &self.0.load_table;
         loop {
-            let held = load_table.place();
-            let number = held.core();
+            let load = load_table.place();
+            let number = load.core();
             let Some(core) = self.0.cores.get(number) else { return ConnectionSlot::CURRENT };
-            // A core that has ended since the last check is passed over, unless there is no other.
+            // Skips a core that has ended since the last check, unless no core accepts connections.
             if core.heartbeat.ended.load(Ordering::Acquire) && load_table.is_accepting(number) {
                 load_table.set_accepting(number, false);
                 continue;
             }
-            return ConnectionSlot { handle: Some(core.handle.clone()), load: Some(Arc::new(held)) };
+            return ConnectionSlot { handle: Some(core.handle.clone()), load: Some(Arc::new(load)) };
         }
     }
 
@@ -131,19 +132,19 @@
         (0..self.0.cores.len()).map(|core| self.0.load_table.connections(core)).collect()
     }
 
-    /// Whether a core gets new connections: not while it has stalled, nor once it has ended.
-    pub fn takes_connections(&self, core: usize) -> bool {
+    /// Whether a core accepts new connections: not while it is stalled, and not after it has ended.
+    pub fn accepts_connections(&self, core: usize) -> bool {
         self.0.load_table.is_accepting(core)
     }
 
-    /// Ends a core: what runs there is dropped, and its connections close. The others continue.
+    /// Stops a core: its tasks are dropped and its connections close. The other cores continue.
     pub fn stop(&self, core: usize) {
         if let Some(core) = self.0.cores.get(core) {
             core.stop.lock().unwrap_or_else(PoisonError::into_inner).take();
         }
     }
 
-    /// Ends all cores.
+    /// Stops all cores.
     pub fn stop_all(&self) {
         for core in 0..self.0.cores.len() {
             self.stop(core);
@@ -157,26 +158,26 @@
         }
     }
 
-    /// Watches the cores until `lost` is closed: logs which have stalled, gives those no new connections, and sends the
-    /// number of each whose thread has ended.
-    pub async fn watch(self, lost: mpsc::Sender<usize>, log: Logger) {
+    /// Watches the cores until `ended_cores` is closed: logs stalled cores, places no new connections on them, and sends
+    /// the number of each core whose thread has ended.
+    pub async fn watch(self, ended_cores: mpsc::Sender<usize>, log: Logger) {
         let inner = &*self.0;
-        let mut watch = StallDetector::new(inner.cores.len(), STALL_TIMEOUT.as_micros() as u64);
+        let mut stall_detector = StallDetector::new(inner.cores.len(), STALL_TIMEOUT.as_micros() as u64);
         let mut next_check = Instant::now();
         while self.is_multicore() {
             tokio::select! {
                 () = sleep_until(next_check) => {}
-                () = lost.closed() => return,
+                () = ended_cores.closed() => return,
             }
             next_check = Instant::now() + HEARTBEAT_INTERVAL;
             let now = inner.epoch.elapsed().as_micros() as u64;
             let heartbeat = |core: &Core| {
-                let Heartbeat { at, ended } = &*core.heartbeat;
-                (at.load(Ordering::Relaxed), ended.load(Ordering::Acquire))
+                let Heartbeat { last_us, ended } = &*core.heartbeat;
+                (last_us.load(Ordering::Relaxed), ended.load(Ordering::Acquire))
             };
-            for change in watch.check(now, inner.cores.iter().map(heartbeat)) {
-                if let Some(ended) = self.on_change(change, &log)
-                    && lost.send(ended).await.is_err()
+            for change in stall_detector.check(now, inner.cores.iter().map(heartbeat)) {
+                if let Some(core) = self.apply_change(change, &log)
+                    && ended_cores.send(core).await.is_err()
                 {
                     return;
                 }
@@ -184,16 +185,16 @@
         }
     }
 
-    /// Applies a change of a core's state. Returns the number of a core that has ended.
-    fn on_change(&self, change: Change, log: &Logger) -> Option<usize> {
+    /// Logs and applies a change of a core's state. Returns the number of the core if it has ended.
+    fn apply_change(&self, change: Change, log: &Logger) -> Option<usize> {
         match change {
-            Change::Stalled(core, since) => {
-                warn!(log, "worker thread stalled"; "core" => core, "stalled_ms" => since / 1000);
+            Change::Stalled(core, stalled_us) => {
+                warn!(log, "worker thread stalled"; "core" => core, "stalled_ms" => stalled_us / 1000);
                 self.0.load_table.set_accepting(core, false);
                 None
             }
-            Change::Recovered(core, after) => {
-                info!(log, "worker thread resumed"; "core" => core, "stalled_ms" => after / 1000);
+            Change::Recovered(core, stalled_us) => {
+                info!(log, "worker thread resumed"; "core" => core, "stalled_ms" => stalled_us / 1000);
                 self.0.load_table.set_accepting(core, true);
                 None
             }
@@ -207,12 +208,12 @@
 }
 
 impl ConnectionSlot {
-    /// Starts a task on this core; the place is held until the task has ended.
+    /// Starts a task on this core. The slot is held until the task has ended.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) -> AbortHandle {
-        let held = self.load.clone();
+        let load = self.load.clone();
         let task = async move {
             task.await;
-            drop(held);
+            drop(load);
         };
         match &self.handle {
             Some(handle) => handle.spawn(task).abort_handle(),
@@ -220,16 +221,16 @@
         }
     }
 
-    /// Calls `act` inside this core's runtime, as is needed for whatever starts tasks by itself.
-    pub fn enter<T>(&self, act: impl FnOnce() -> T) -> T {
+    /// Calls `function` in the context of this core's runtime, as code that spawns its own tasks needs.
+    pub fn enter<T>(&self, function: impl FnOnce() -> T) -> T {
         let _entered = self.handle.as_ref().map(Handle::enter);
-        act()
+        function()
     }
 
-    /// Moves a socket to this core: it belongs to the runtime that it was made on.
+    /// Moves a socket to this core; a socket is otherwise bound to the runtime that created it.
     ///
     /// # Errors
-    /// Where the system does not move it.
+    /// The socket can't be registered with this core's runtime.
     pub fn adopt_stream(&self, stream: TcpStream) -> std::io::Result<TcpStream> {
         if self.handle.is_none() {
             return Ok(stream);
@@ -244,7 +245,7 @@
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let handle = runtime.handle().clone();
     let now = move || epoch.elapsed().as_micros() as u64;
-    let heartbeat = Arc::new(Heartbeat { at: AtomicU64::new(now()), ended: false.into() });
+    let heartbeat = Arc::new(Heartbeat { last_us: AtomicU64::new(now()), ended: false.into() });
     let (stop, mut stopped) = oneshot::channel();
     let mark_ended = MarkEndedOnDrop(heartbeat.clone());
     std::thread::Builder::new().name(format!("core-{number}")).spawn(move || {
@@ -254,13 +255,13 @@
                 tokio::select! {
                     _ = &mut stopped => return,
                     () = sleep_until(Instant::now() + HEARTBEAT_INTERVAL) => {
-                        heartbeat.at.store(now(), Ordering::Relaxed);
+                        heartbeat.last_us.store(now(), Ordering::Relaxed);
                     }
                 }
             }
         });
-        // What ran here is dropped before the end is marked: a task that learns of it finds that all its attempts have
-        // reported their ends.
+        // The runtime and its tasks are dropped before the core is marked as ended: whoever sees the mark can rely on all
+        // attempts of this core having reported their results.
         drop(runtime);
         drop(mark_ended);
     })?;
--- a/gateway/src/serve/base.rs
+++ b/gateway/src/serve/base.rs
@@ -90,10 +90,10 @@
             let (_, share) = watch::channel(CapacityShare::default());
             return Processes { files: None, share, stage, is_second: false };
         }
-        let folder = self.config.folder.clone();
+        let folder = self.config.temp_dir.clone();
         let stem = file_stem(&self.config.name, self.config.listen);
-        let hot_restart = HotRestart::enter(&folder, &stem, self.log_of("hot_restart"));
-        let (share, is_second) = (hot_restart.share(), hot_restart.is_second());
+        let hot_restart = HotRestart::register(&folder, &stem, self.log_of("hot_restart"));
+        let (share, is_second) = (hot_restart.share(), hot_restart.has_other_processes());
         tokio::spawn(hot_restart.watch(stages));
         Processes { files: Some((folder, stem)), share, stage, is_second }
     }
--- a/gateway/src/serve/reload.rs
+++ b/gateway/src/serve/reload.rs
@@ -30,7 +30,7 @@
 impl Reloads {
     /// For a program that starts with this configuration. The receiver gets the source of the endpoint list.
     pub(super) fn new(config: &Config, log: &Logger) -> (Self, watch::Receiver<DiscoverySource>) {
-        let (source, sources) = watch::channel(DiscoverySource { server: config.names, known: None });
+        let (source, sources) = watch::channel(DiscoverySource { server: config.name_server, known: None });
         let fixed = FixedConfig {
             listen: config.listen,
             console: config.console,
@@ -53,8 +53,9 @@
         for (_, setting) in differs.iter().filter(|(has_changed, _)| *has_changed) {
             warn!(self.log, "setting needs a restart to change"; "setting" => setting);
         }
-        info!(self.log, "configuration reloaded"; "name_server" => ?config.names);
-        self.source.send_replace(DiscoverySource { server: config.names, known: config.known });
+        info!(self.log, "configuration reloaded"; "name_server" => ?config.name_server);
+        self.source
+            .send_replace(DiscoverySource { server: config.name_server, known: config.initial_endpoints });
     }
 
     /// Reads the configuration again; one that can't be read, or is not valid, changes nothing.
--- a/gateway/src/serve/subsystems.rs
+++ b/gateway/src/serve/subsystems.rs
@@ -95,7 +95,7 @@
         let list = EndpointList::new(self.sockets.clone());
         let (metrics, log) = (self.metrics.clone(), self.log_of("registry"));
         let registry = EndpointRegistry::new(list, drain_guards, endpoints, metrics, overrides, log);
-        if let Some(known) = &self.config.known {
+        if let Some(known) = &self.config.initial_endpoints {
             let engines = registry.start(known).map_err(ServeError::Known)?;
             let serial = registry.serial();
             info!(self.log, "endpoint list of the configuration read"; "gateway" => &self.config.name,
@@ -157,7 +157,7 @@
             log,
         };
         thread.start(received).map_err(|error| ServeError::Io("state", error))?;
-        let has_name_server = self.config.names.is_some();
+        let has_name_server = self.config.name_server.is_some();
         let health = self.health.clone();
         Ok(Some(RecoverySetup { persisted_events, keys: snapshot.keys, has_name_server, health }))
     }
--- a/gateway/tests/disconnects.rs
+++ b/gateway/tests/disconnects.rs
@@ -145,7 +145,7 @@
 async fn without_engines() -> (Running, discovery_server::EngineList) {
     let list = endpoint_list(1, Vec::new());
     let (server, _) = discovery_server::start_server(list.clone()).await;
-    let config = Config { names: Some(server), ..slow_connect_config(&[]) };
+    let config = Config { name_server: Some(server), ..slow_connect_config(&[]) };
     (gateway(config, operator()).await, list)
 }
 
--- a/gateway/tests/flight_front.rs
+++ b/gateway/tests/flight_front.rs
@@ -110,7 +110,7 @@
     let [a, b] = flight_engines(&test_bed).await;
     let list = endpoint_list(1, vec![listed("s-0", a), listed("s-1", b)]);
     let (server, answers) = discovery_server::start_server(list.clone()).await;
-    let config = Config { names: Some(server), ..config(&[a, b]) };
+    let config = Config { name_server: Some(server), ..config(&[a, b]) };
     let gateway = gateway(config, both_protocols(EngineWire::FlightSql)).await;
     let client = Client::connect(gateway.flight.unwrap()).await.with_class("lookup", None);
     for n in 0..4 {
@@ -138,7 +138,7 @@
     let test_bed = TestBed::default();
     let mut config = config(&flight_engines(&test_bed).await);
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
-    let known = config.known.as_mut().unwrap();
+    let known = config.initial_endpoints.as_mut().unwrap();
     known["results"][0]["fleet"]["servers"][0]["started_ms"] = unix.into();
     let gateway = gateway(config, both_protocols(EngineWire::FlightSql)).await;
     let client = Client::connect(gateway.flight.unwrap())
--- a/gateway/tests/golden.rs
+++ b/gateway/tests/golden.rs
@@ -86,7 +86,7 @@
 #[test]
 fn process_file_format_is_unchanged() {
     let folder = folder();
-    let mut own = HotRestart::enter(&folder, "n0-3306", discard_log());
+    let mut own = HotRestart::register(&folder, "n0-3306", discard_log());
     let read = || std::fs::read_to_string(folder.join("n0-3306.process-0")).unwrap();
     assert_eq!(read(), "starting");
     own.set_stage(ProcessStage::Serving);
@@ -105,7 +105,7 @@
         std::fs::write(&path, word).unwrap();
         let other = File::open(&path).unwrap();
         other.lock().unwrap();
-        let own = HotRestart::enter(&folder, "n0-3306", discard_log());
+        let own = HotRestart::register(&folder, "n0-3306", discard_log());
         let own = *own.share().borrow();
         assert_eq!((own.share, own.relieved), (share, relieved), "{word}");
     }
--- a/gateway/tests/multicore/coordination.rs
+++ b/gateway/tests/multicore/coordination.rs
@@ -70,7 +70,7 @@
         json!(if start_listed { started_ms } else { 0 });
     let mut running = Vec::new();
     for n in 0..gateways {
-        let config = Config { known: Some(list.clone()), seed: 7 + n as u64, ..config(&engines) };
+        let config = Config { initial_endpoints: Some(list.clone()), seed: 7 + n as u64, ..config(&engines) };
         running.push(gateway(config, cores(cores_each)).await);
     }
     let addresses: Vec<_> = running.iter().map(|r| r.mysql).collect();
--- a/gateway/tests/multicore/main.rs
+++ b/gateway/tests/multicore/main.rs
@@ -48,7 +48,7 @@
 fn long_objective_config(discovery: SocketAddr, engine: SocketAddr) -> Config {
     let mut settings = settings();
     settings["RequestClasses"][0]["SloUs"] = json!(6_000_000);
-    Config { names: Some(discovery), ..config_with(&[engine], &settings) }
+    Config { name_server: Some(discovery), ..config_with(&[engine], &settings) }
 }
 
 /// A gateway on four cores with one engine; the session and the connection to the engine lie on different cores.
--- a/gateway/tests/multicore/sessions.rs
+++ b/gateway/tests/multicore/sessions.rs
@@ -65,7 +65,7 @@
     let mut clients = sessions_on_all_cores(&running, 9).await;
     let (server, _) = discovery_server::start_server(endpoint_list(9, vec![listed("s-1", b)])).await;
     let reloaded = Instant::now();
-    running.reloads().apply(Config { names: Some(server), ..config(&[a]) });
+    running.reloads().apply(Config { name_server: Some(server), ..config(&[a]) });
     // Once one request reaches the new engine, the old one has been removed from the list.
     while test_bed.attempts_at("b") == 0 {
         assert!(reloaded.elapsed() < Duration::from_secs(1));
--- a/gateway/tests/multicore/stalls.rs
+++ b/gateway/tests/multicore/stalls.rs
@@ -33,7 +33,7 @@
     assert_eq!((test_bed.attempts_at("a"), test_bed.attempts_at("b")), (1, 1));
     // When its heartbeat is back, the core has processed all that was queued during the stall.
     until("the core has resumed", || {
-        stalled.elapsed() > STALL && running.multicore().takes_connections(engine_core)
+        stalled.elapsed() > STALL && running.multicore().accepts_connections(engine_core)
     })
     .await;
     assert!(drained.elapsed() > DRAIN_GRACE);
@@ -76,7 +76,7 @@
     let a = listener.local_addr().unwrap();
     let list = endpoint_list(2, vec![listed("s-0", a)]);
     let (server, _) = discovery_server::start_server(list.clone()).await;
-    let config = Config { names: Some(server), ..config_with(&[a], &settings) };
+    let config = Config { name_server: Some(server), ..config_with(&[a], &settings) };
     let running = gateway(config, cores(4)).await;
     let mut clients = Vec::new();
     for n in 0..QUERIES {
@@ -119,7 +119,7 @@
     let running = gateway(config(&[resp::start_engine("a", test_bed.clone()).await]), cores(4)).await;
     let cores = running.multicore();
     stall(&running, 1, STALL);
-    until("the stall is detected", || !cores.takes_connections(1)).await;
+    until("the stall is detected", || !cores.accepts_connections(1)).await;
     let started = Instant::now();
     let mut clients = Vec::new();
     for n in 0..6 {
@@ -128,9 +128,9 @@
         assert_eq!(client.outcome(&query).await, Outcome::Served);
         clients.push(client);
     }
-    assert!(!cores.takes_connections(1) && started.elapsed() < STALL, "all were served during the stall");
+    assert!(!cores.accepts_connections(1) && started.elapsed() < STALL, "all were served during the stall");
     assert_eq!(cores.connections_per_core()[1], 0);
-    until("the core has resumed", || cores.takes_connections(1)).await;
+    until("the core has resumed", || cores.accepts_connections(1)).await;
     let client = Client::connect(running.mysql).await;
     until("the core has a connection", || cores.connections_per_core()[1] == 1).await;
     drop((client, clients));
@@ -148,8 +148,10 @@
     assert_eq!(client.outcome(&fields("lookup", 1000, None, "SELECT 2")).await, Outcome::Failed("DEADLINE"));
     assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
     // The resumed broker drops the request that was abandoned meanwhile and decides on new ones.
-    until("the broker has resumed", || running.multicore().takes_connections(0) && started.elapsed() > STALL)
-        .await;
+    until("the broker has resumed", || {
+        running.multicore().accepts_connections(0) && started.elapsed() > STALL
+    })
+    .await;
     assert_eq!(client.outcome(&fields("lookup", 5000, None, "SELECT 3")).await, Outcome::Served);
     assert_eq!(test_bed.attempts("SELECT 2"), 0);
 }
--- a/gateway/tests/mysql_front.rs
+++ b/gateway/tests/mysql_front.rs
@@ -172,7 +172,7 @@
     let [a, b] = resp_engines(&test_bed).await;
     let list = endpoint_list(1, vec![listed("s-0", a), listed("s-1", b)]);
     let (server, answers) = discovery_server::start_server(list.clone()).await;
-    let config = Config { names: Some(server), ..config(&[a, b]) };
+    let config = Config { name_server: Some(server), ..config(&[a, b]) };
     let gateway = gateway(config, Operator::default()).await;
     let mut client = Client::connect(gateway.mysql).await;
     for n in 0..4 {
--- a/gateway/tests/operation/console.rs
+++ b/gateway/tests/operation/console.rs
@@ -77,7 +77,7 @@
 async fn waiting_console_command_is_answered_despite_newer_connections() {
     let test_bed = TestBed::default();
     let config = with_console(&resp_engines(&test_bed).await);
-    let folder = config.folder.clone();
+    let folder = config.temp_dir.clone();
     let running = gateway(config, Operator::default()).await;
     let console = running.console.unwrap();
     // This creates the override file; then the test holds its lock, as another process would.
--- a/gateway/tests/operation/hot_restart.rs
+++ b/gateway/tests/operation/hot_restart.rs
@@ -147,7 +147,7 @@
 async fn without_a_console_nothing_is_stored_and_the_address_is_not_shared() {
     let test_bed = TestBed::default();
     let config = config(&resp_engines(&test_bed).await);
-    let (folder, limits) = (config.folder.clone(), Limits::default());
+    let (folder, limits) = (config.temp_dir.clone(), Limits::default());
     let running = gateway(Config { limits, ..config.clone() }, Operator::default()).await;
     assert_eq!(running.console, None);
     assert_eq!(std::fs::read_dir(folder).unwrap().count(), 0);
--- a/gateway/tests/operation/overrides.rs
+++ b/gateway/tests/operation/overrides.rs
@@ -113,7 +113,8 @@
         |id, address, started_ms| discovery_server::ListedEngine { started_ms, ..listed(id, address) };
     let list = endpoint_list(2, vec![listed("s-0", a), listed("s-1", b)]);
     let (server, answers) = discovery_server::start_server(list.clone()).await;
-    let running = gateway(Config { names: Some(server), ..with_console(&[a, b]) }, Operator::default()).await;
+    let running =
+        gateway(Config { name_server: Some(server), ..with_console(&[a, b]) }, Operator::default()).await;
     let console = running.console.unwrap();
     let mut client = Client::connect(running.mysql).await;
     assert!(succeeds(console, "OFFLINE s-0").await);
--- a/gateway/tests/program.rs
+++ b/gateway/tests/program.rs
@@ -133,7 +133,9 @@
     assert!(run(&["no-such-command"]).2.contains("usage"));
     assert!(run(&["serve"]).2.contains("GW_CONFIG"));
     assert!(!run(&["check-config", "--config", "/nowhere"]).0);
-    assert!(run(&["check-config", "--config", "x", "--unheard"]).2.contains("not understood"));
+    assert!(
+        run(&["check-config", "--config", "x", "--unheard"]).2.contains("unexpected argument: --unheard")
+    );
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/flight.kdl");
     let read = reedwalk_gateway::operator::read_file(std::path::Path::new(example)).unwrap();
     let deployment = reedwalk_settings::read(&settings()).unwrap();
--- a/gateway/tests/shared_store/main.rs
+++ b/gateway/tests/shared_store/main.rs
@@ -74,7 +74,7 @@
         if let Some(engine) = draining {
             known["results"][0]["fleet"]["servers"][engine]["state"] = json!("draining");
         }
-        let config = Config { known: Some(known), ..config_with(&self.engines, &settings) };
+        let config = Config { initial_endpoints: Some(known), ..config_with(&self.engines, &settings) };
         let store = Store::Redis(format!("redis://{store}"), options);
         gateway(config, Operator { store, ..Operator::default() }).await
     }
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -65,12 +65,12 @@
         listen: ANY_PORT.parse().unwrap(),
         seed: 7,
         limits: Limits::default(),
-        names: None,
+        name_server: None,
         console: None,
         peer_listen: None,
         peers: Vec::new(),
-        folder: folder(),
-        known: Some(initial_endpoints(engines)),
+        temp_dir: folder(),
+        initial_endpoints: Some(initial_endpoints(engines)),
         deployment: reedwalk_settings::read(settings).unwrap(),
     }
 }
