--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,8 +1,9 @@
-//! The gateway: a broker between clients and a pool of engines. `broker` is its core and knows no protocol; `message` has
-//! the types that it exchanges with the other modules: the fronts for clients, the transports to engines, the discovery of
-//! endpoints, the modules that own other state, and `serve`, which starts and ends the process. ARCHITECTURE.md has the map.
+//! The gateway: a broker between clients and a pool of engines. The core is `broker`, which is independent of any protocol.
+//! `message` defines the types that it exchanges with the other modules: the client fronts, the engine transports, endpoint
+//! discovery, the modules that own other state, and `serve`, which starts and stops the process. See ARCHITECTURE.md for
+//! an overview.
 //!
-//! A process that serves until SIGTERM, as `reedwalk serve` does:
+//! Serving until SIGTERM, as `reedwalk serve` does:
 //!
 //! ```no_run
 //! use reedwalk_gateway::config::{self, Environment};
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -1,16 +1,16 @@
-//! Limits of the process.
+//! Resource limits of the process.
 
 use serde::Deserialize;
 
-/// What the platform allows the process.
+/// The resources that the platform allows the process.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Share of a core.
+    /// CPU cores; may be a fraction.
     pub cores: f64,
     /// Memory in MB.
     pub memory_mb: f64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `reedwalk`.
+//! The `reedwalk` binary.
 
 use std::process::ExitCode;
 
