--- a/gateway/src/persistence/folder.rs
+++ b/gateway/src/persistence/folder.rs
@@ -1,6 +1,6 @@
 //! A folder on disk as the storage of `reedwalk-recovery`, and the lock that excludes a second process.
 
-use crate::lock::Locked;
+use crate::lock::FileLock;
 use reedwalk_recovery::snapshot_store::SnapshotFiles;
 use std::fs::{File, OpenOptions};
 use std::io::{Error, Read, Write};
@@ -29,8 +29,8 @@
     ///
     /// # Errors
     /// If the lock file can't be created or locked.
-    pub fn lock(&self) -> Result<Option<Locked>, Error> {
-        Locked::take(&self.0.join("lock"))
+    pub fn lock(&self) -> Result<Option<FileLock>, Error> {
+        FileLock::try_acquire(&self.0.join("lock"))
     }
 
     fn write_with(&self, name: &str, bytes: &[u8], options: &mut OpenOptions) -> Result<(), Error> {
--- a/gateway/src/persistence/writer.rs
+++ b/gateway/src/persistence/writer.rs
@@ -2,7 +2,7 @@
 //! not persisted. That may delay a retry, but never lets it take effect twice.
 
 use super::folder::Folder;
-use crate::lock::Locked;
+use crate::lock::FileLock;
 use crate::message::PersistedEvent;
 use crate::metrics::{Metric, Metrics};
 use crate::registry::EndpointRegistry;
@@ -48,7 +48,7 @@
 /// A snapshot store in a folder whose lock this process holds.
 struct LockedStore {
     store: SnapshotStore,
-    _lock: Locked,
+    _lock: FileLock,
 }
 
 /// The fields of [`PersistedEvent::Snapshot`].
--- a/gateway/src/registry/override_file.rs
+++ b/gateway/src/registry/override_file.rs
@@ -1,7 +1,7 @@
 //! The file that keeps the operators' overrides across restarts. It is replaced atomically by renaming a temporary
 //! file. A lock file, whose lock the kernel releases when its process ends, excludes a second writer.
 
-use crate::lock::Locked;
+use crate::lock::FileLock;
 use reedwalk_operations::{MAX_RECORD_BYTES, OverrideRecordError, Overrides, read, write};
 use slog::{Logger, error};
 use std::fmt;
@@ -88,9 +88,9 @@
     ///
     /// # Errors
     /// If another process holds the lock until `deadline`, or the lock file can't be created.
-    pub async fn lock(&self, deadline: Instant) -> Result<Locked, OverrideFileError> {
+    pub async fn lock(&self, deadline: Instant) -> Result<FileLock, OverrideFileError> {
         loop {
-            match Locked::take(&self.lock_path)? {
+            match FileLock::try_acquire(&self.lock_path)? {
                 Some(file_lock) => return Ok(file_lock),
                 None if Instant::now() >= deadline => return Err(OverrideFileError::Busy),
                 None => sleep_until(Instant::now() + LOCK_RETRY_INTERVAL).await,
