--- a/gateway/src/cli.rs
+++ b/gateway/src/cli.rs
@@ -5,7 +5,7 @@
 use crate::gossip;
 use crate::logging;
 use crate::operator::error::OperatorFileError;
-use crate::operator::{self, Operator, Store};
+use crate::operator::{self, BudgetStore, OperatorConfig};
 use crate::persistence::{self, CheckMode, PersistenceError};
 use crate::serve::{self, ServeError};
 use slog::Level;
@@ -196,17 +196,17 @@
 }
 
 /// Reads and validates the configuration and the operator's file.
-fn load(options: &Options) -> Result<(Config, Operator), CliError> {
+fn load(options: &Options) -> Result<(Config, OperatorConfig), CliError> {
     let operator = match &options.operator {
         Some(path) => operator::read_file(path)?,
-        None => Operator::default(),
+        None => OperatorConfig::default(),
     };
     let config = read(&options.config).and_then(Config::validate)?;
     if let Some(path) = &options.operator {
         let operator_error = |error| CliError::Operator(path.clone(), error);
         operator.check(&config.limits).map_err(operator_error)?;
         if let Some(options) = &operator.peers {
-            gossip::group(options, &config).map_err(operator_error)?;
+            gossip::resolve_group(options, &config).map_err(operator_error)?;
         }
     }
     Ok((config, operator))
@@ -225,8 +225,8 @@
     let teams = operator.contracts.as_ref().map_or(0, Vec::len);
     println!("contracts: {}", if quotas.is_some() { format!("{teams} teams") } else { "off".into() });
     match &operator.store {
-        Store::Memory => println!("store: in memory"),
-        Store::Redis(_, options) => println!("store: Redis, {options:?}"),
+        BudgetStore::Memory => println!("store: in memory"),
+        BudgetStore::Redis(_, options) => println!("store: Redis, {options:?}"),
     }
     println!("peers: {}", describe_gossip(&config, &operator));
     match &operator.state {
@@ -234,20 +234,25 @@
         None => println!("state: off"),
     }
     match operator.flight {
-        Some(flight) => println!("flight: listens on {}, engines {:?}", flight.listen, operator.engines),
-        None => println!("flight: off, engines {:?}", operator.engines),
+        Some(flight) => {
+            println!("flight: listens on {}, engines {:?}", flight.listen, operator.engine_protocol)
+        }
+        None => println!("flight: off, engines {:?}", operator.engine_protocol),
     }
     Ok(())
 }
 
-fn describe_gossip(config: &Config, operator: &Operator) -> String {
+fn describe_gossip(config: &Config, operator: &OperatorConfig) -> String {
     let Some(options) = &operator.peers else { return "off".into() };
-    let Ok(Some(group)) = gossip::group(options, config) else {
+    let Ok(Some(group)) = gossip::resolve_group(options, config) else {
         return "off, disabled by the settings".into();
     };
     let (count, listen, most) = (group.addresses.len(), group.listen, group.max_bytes_per_second());
     let signed = group.describe_signing();
-    format!("number {} of {count}, listens on {listen}, {signed}, at most {most} bytes a second", group.me)
+    format!(
+        "number {} of {count}, listens on {listen}, {signed}, at most {most} bytes a second",
+        group.own_id
+    )
 }
 
 fn call(args: pico_args::Arguments) -> Result<(), CliError> {
--- a/gateway/src/gossip/task.rs
+++ b/gateway/src/gossip/task.rs
@@ -1,4 +1,4 @@
-//! The gossip task: it owns the socket, feeds datagrams and timers to the gossip node, and carries out its actions.
+//! The gossip task: owns the UDP socket, passes datagrams and timer events to the gossip node, and executes its actions.
 
 use super::GossipGroup;
 use super::keys::read_keys;
@@ -22,65 +22,65 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// Maximum number of outlier reports that wait to be sent; one that is dropped is made again at the next observation.
+/// Maximum number of queued outlier reports. A dropped report is created again at the next observation.
 pub const MAX_PENDING_OUTLIERS: usize = 64;
-/// How often the endpoint list is checked for engines that are new or have restarted.
+/// Interval at which the endpoint list is checked for new and restarted engines.
 const ENDPOINT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval at which the address is tried again while another process of this gateway still has it.
+/// Interval between attempts to bind the address while another process of this gateway still holds it.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Datagrams that are read in one pass, so that other work of the task is not delayed.
-const MAX_DATAGRAMS_PER_TURN: usize = 64;
+/// Maximum number of datagrams read per iteration of the event loop, so that the task's other work is not delayed.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
 
-/// What the task needs of the rest of the program.
+/// Handles through which the gossip task interacts with the rest of the program.
 pub struct GossipContext {
-    /// The endpoint list.
+    /// Registry of the listed engines.
     pub registry: EndpointRegistry,
-    /// The broker's queue.
+    /// Event queue of the broker.
     pub events: mpsc::Sender<BrokerEvent>,
-    /// Outlier reports of this gateway.
+    /// Outlier reports by this gateway's broker.
     pub outliers: mpsc::Receiver<OutlierReport>,
-    /// What it observes of engines.
+    /// This gateway's latest observations of engines.
     pub observations: watch::Receiver<Vec<EngineObservation>>,
-    /// Changes when the configuration is read again; the keys are read again then.
+    /// Changes when the configuration is reloaded; the signing keys are reloaded as well.
     pub sources: watch::Receiver<DiscoverySource>,
-    /// True once this process shuts down: the next one takes the address.
+    /// True once this process shuts down, so that its successor can bind the address.
     pub closing: watch::Receiver<bool>,
-    /// The metrics.
+    /// Metrics of the gateway.
     pub metrics: Arc<Metrics>,
-    /// For random numbers.
+    /// Seed of the node's random number generator.
     pub seed: u64,
 }
 
-/// The gossip task of one gateway.
+/// The gossip task of this gateway.
 pub struct GossipTask {
     group: GossipGroup,
     context: GossipContext,
     node: GossipNode,
-    /// The Unix time at the start, and the instant of that: the task's clock goes forward only.
+    /// Unix time at the start; with `started_at` it gives a clock that never goes backwards.
     started_ms: Millis,
     started_at: Instant,
     peer_by_address: HashMap<SocketAddr, PeerId>,
     engine_by_key: HashMap<EngineKey, EngineId>,
-    /// The listed engines with the second of their start.
-    listed: BTreeMap<EngineKey, u32>,
+    /// Listed engines, with their start time in Unix seconds; 0 if unknown.
+    listed_engines: BTreeMap<EngineKey, u32>,
     live_gateways: usize,
-    /// A number of live gateways that the broker's queue had no room for yet.
+    /// Latest live gateway count, kept until the broker's queue has room for it.
     unsent_live_gateways: Option<f64>,
     log: Logger,
 }
 
-/// Returns once this process shuts down.
+/// Waits until this process shuts down.
 async fn wait_for_shutdown(closing: &mut watch::Receiver<bool>) {
     let _ = closing.wait_for(|closing| *closing).await;
 }
 
 impl GossipTask {
-    /// A task that has received no datagram yet.
+    /// Creates the task with a new gossip node.
     pub fn new(group: GossipGroup, context: GossipContext, log: Logger) -> Self {
         let started_ms = unix_ms();
         let count = group.addresses.len();
         let setup = NodeSetup {
-            me: group.me,
+            me: group.own_id,
             count,
             max_bytes_per_second: group.max_bytes_per_second,
             keys: group.keys.clone(),
@@ -88,7 +88,7 @@
             seed: context.seed,
         };
         let peers = group.addresses.iter().enumerate();
-        let peer_by_address = peers.map(|(number, address)| (*address, number as PeerId)).collect();
+        let peer_by_address = peers.map(|(index, address)| (*address, index as PeerId)).collect();
         Self {
             group,
             context,
@@ -97,7 +97,7 @@
             started_at: Instant::now(),
             peer_by_address,
             engine_by_key: HashMap::new(),
-            listed: BTreeMap::new(),
+            listed_engines: BTreeMap::new(),
             live_gateways: count,
             unsent_live_gateways: None,
             log,
@@ -108,7 +108,7 @@
         self.started_ms + self.started_at.elapsed().as_millis() as Millis
     }
 
-    fn instant(&self, at_ms: Millis) -> Instant {
+    fn instant_at(&self, at_ms: Millis) -> Instant {
         self.started_at + Duration::from_millis(at_ms.saturating_sub(self.started_ms))
     }
 
@@ -116,7 +116,7 @@
     pub async fn run(mut self) {
         let Some(socket) = self.open_socket().await else { return };
         let listen = socket.local_addr().unwrap_or(self.group.listen);
-        info!(self.log, "gossip started"; "listen" => %listen, "gateway" => self.group.me,
+        info!(self.log, "gossip started"; "listen" => %listen, "gateway" => self.group.own_id,
             "gateways" => self.group.addresses.len(), "signing" => self.group.describe_signing());
         let (mut actions, mut buffer) = (Vec::new(), [0; MAX_DATAGRAM_BYTES + 1]);
         let mut next_check = Instant::now();
@@ -124,14 +124,14 @@
             if Instant::now() >= next_check {
                 next_check = Instant::now() + ENDPOINT_CHECK_INTERVAL;
                 self.update_endpoints();
-                self.take_observations();
+                self.forward_observations();
                 self.update_metrics();
             }
             let node_due =
                 self.node.next_due().min(self.now_ms() + ENDPOINT_CHECK_INTERVAL.as_millis() as Millis);
-            let due = self.instant(node_due).min(next_check);
+            let due = self.instant_at(node_due).min(next_check);
             tokio::select! {
-                readable = socket.readable() => if readable.is_ok() { self.read(&socket, &mut buffer) },
+                readable = socket.readable() => if readable.is_ok() { self.read_datagrams(&socket, &mut buffer) },
                 report = self.context.outliers.recv() => match report {
                     Some(report) => self.on_outlier(report),
                     None => return,
@@ -150,7 +150,8 @@
         }
     }
 
-    /// Opens the socket; another process of this gateway may still have the address for a while.
+    /// Opens the socket, and retries while another process of this gateway still holds the address. Returns `None` if this
+    /// process shuts down first.
     async fn open_socket(&mut self) -> Option<UdpSocket> {
         let mut is_logged = false;
         loop {
@@ -177,10 +178,10 @@
         }
     }
 
-    fn read(&mut self, socket: &UdpSocket, buffer: &mut [u8]) {
+    fn read_datagrams(&mut self, socket: &UdpSocket, buffer: &mut [u8]) {
         let now = self.now_ms();
-        for _ in 0..MAX_DATAGRAMS_PER_TURN {
-            // An error here is the answer to a datagram that was sent to a closed port, and can be ignored.
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
+            // Besides `WouldBlock`, this can be an ICMP error for a datagram sent to a closed port, which is ignored.
             let Ok((size, from)) = socket.try_recv_from(buffer) else { return };
             let peer = self.peer_by_address.get(&from).copied();
             if let Err(reason) = self.node.on_datagram(peer, &buffer[..size], now) {
@@ -198,27 +199,27 @@
             OutlierKind::Unresponsive => FactKind::Silent,
             OutlierKind::AttemptFailed => FactKind::AttemptFailed,
         };
-        let lasts = report.until.saturating_duration_since(Instant::now());
-        self.node.report_outlier(key, kind, now + lasts.as_millis() as Millis, now);
+        let remaining = report.until.saturating_duration_since(Instant::now());
+        self.node.report_outlier(key, kind, now + remaining.as_millis() as Millis, now);
     }
 
-    /// Reads the listed engines from the registry.
+    /// Updates the listed engines from the registry.
     fn update_endpoints(&mut self) {
-        let (mut engine_by_key, mut listed) = (HashMap::new(), BTreeMap::new());
+        let (mut engine_by_key, mut listed_engines) = (HashMap::new(), BTreeMap::new());
         self.context.registry.for_each_engine(|name, engine, started| {
             let key = EngineKey::from(name);
             engine_by_key.insert(key, engine);
-            listed.insert(key, started.map_or(0, |time| (time.0 / 1_000_000) as u32));
+            listed_engines.insert(key, started.map_or(0, |time| (time.0 / 1_000_000) as u32));
         });
         self.engine_by_key = engine_by_key;
-        if self.listed != listed {
-            self.node.set_engines(&listed, self.now_ms());
-            self.listed = listed;
+        if self.listed_engines != listed_engines {
+            self.node.set_engines(&listed_engines, self.now_ms());
+            self.listed_engines = listed_engines;
         }
     }
 
     /// Passes this gateway's latest observations of engines to the node.
-    fn take_observations(&mut self) {
+    fn forward_observations(&mut self) {
         if !self.context.observations.has_changed().unwrap_or(false) {
             return;
         }
@@ -233,7 +234,7 @@
         self.node.set_observations(&observed, self.now_ms());
     }
 
-    /// Reads the keys again; where one can't be used, the old ones stay.
+    /// Reloads the signing keys; if any of them is invalid, the current keys stay in use.
     fn reload_keys(&mut self) {
         match read_keys(&self.group.key_files) {
             Ok(keys) => self.node.set_keys(keys),
@@ -246,7 +247,7 @@
     fn apply_action(&mut self, action: GossipAction, socket: &UdpSocket) {
         match action {
             GossipAction::Send(to, bytes) => {
-                // What can't be sent now is lost, as any datagram may be.
+                // Datagrams may be lost anyway, so a failed send is not retried.
                 if let Some(address) = self.group.addresses.get(usize::from(to)) {
                     let _ = socket.try_send_to(&bytes, *address);
                 }
@@ -265,9 +266,9 @@
 
     fn on_ejection(&mut self, ejection: GossipEjection) {
         let Some(&engine) = self.engine_by_key.get(&ejection.engine) else { return };
-        let lasts_ms = ejection.until - self.now_ms();
-        info!(self.log, "engine ejected on gossip"; "engine" => engine.0, "ejected_ms" => lasts_ms);
-        let until = self.instant(ejection.until);
+        let remaining_ms = ejection.until - self.now_ms();
+        info!(self.log, "engine ejected on gossip"; "engine" => engine.0, "ejected_ms" => remaining_ms);
+        let until = self.instant_at(ejection.until);
         let _ = self.context.events.try_send(BrokerEvent::EjectedByGossip { engine, until });
     }
 
@@ -275,15 +276,15 @@
         let (SharedObservation::Restarted(key, _) | SharedObservation::Slow(key, _)) = observation;
         let Some(&engine) = self.engine_by_key.get(&key) else { return };
         let event = match observation {
-            SharedObservation::Restarted(_, second) => {
+            SharedObservation::Restarted(_, unix_s) => {
                 info!(self.log, "engine restart reported by gossip"; "engine" => engine.0,
-                    "started_unix_s" => second);
-                let started = Time(u64::from(second) * 1_000_000);
+                    "started_unix_s" => unix_s);
+                let started = Time(u64::from(unix_s) * 1_000_000);
                 BrokerEvent::EngineRestarted { engine, started }
             }
             SharedObservation::Slow(_, slowdown) => BrokerEvent::SlowdownObserved { engine, slowdown },
         };
-        // If the broker's queue is full the event is lost; gateways that still observe it will report it again.
+        // If the broker's queue is full, the event is dropped; gateways that still observe it will report it again.
         let _ = self.context.events.try_send(event);
     }
 
@@ -291,7 +292,7 @@
         let now = self.now_ms();
         let (counters, live_gateways) = (self.node.counters(), self.node.live_count(now));
         let threads: f64 =
-            self.listed.keys().filter_map(|engine| self.node.threads_in_use(*engine, now)).sum();
+            self.listed_engines.keys().filter_map(|engine| self.node.threads_in_use(*engine, now)).sum();
         if live_gateways != self.live_gateways {
             info!(self.log, "live gateways changed"; "gateways" => live_gateways,
                 "gateways_before" => self.live_gateways);
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! ```no_run
 //! use reedwalk_gateway::config::{self, Environment};
-//! use reedwalk_gateway::operator::Operator;
+//! use reedwalk_gateway::operator::OperatorConfig;
 //! use reedwalk_gateway::{logging, serve};
 //! use std::path::Path;
 //!
@@ -14,7 +14,7 @@
 //! async fn main() -> Result<(), Box<dyn std::error::Error>> {
 //!     let read = || config::read(Path::new("config.json"), Environment::default());
 //!     let log = logging::root(slog::Level::Info);
-//!     serve::serve(read()?, Operator::default(), read, log).await?;
+//!     serve::serve(read()?, OperatorConfig::default(), read, log).await?;
 //!     Ok(())
 //! }
 //! ```
--- a/gateway/src/operator/error.rs
+++ b/gateway/src/operator/error.rs
@@ -1,4 +1,4 @@
-//! Errors in an operator's file, and in what it names.
+//! Errors in the operator's file and in the files that it refers to.
 
 use reedwalk_gossip::KeyTooShort;
 use std::error::Error;
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What is wrong with an operator's file, and where.
+/// An error in the operator's file, with its line.
 #[derive(Debug)]
 pub struct OperatorFileError {
-    /// The line, counted from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// What was found there.
+    /// The error at that line.
     pub kind: OperatorFileErrorKind,
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Equal if both name the same line and the same fault. By their text, since errors of the system can't be compared.
+/// Compares the lines and the error messages, because `std::io::Error` does not implement `PartialEq`.
 impl PartialEq for OperatorFileError {
     fn eq(&self, other: &Self) -> bool {
         self.line == other.line && self.kind.to_string() == other.kind.to_string()
@@ -34,75 +34,75 @@
     }
 }
 
-/// What is wrong with an operator's file.
+/// Kind of an error in the operator's file.
 #[derive(Debug)]
 pub enum OperatorFileErrorKind {
-    /// It is not a KDL document; what the parser reports, if anything.
+    /// Not a KDL document; holds the message of the parser, if any.
     Syntax(Option<String>),
-    /// A block has no setting of this name.
+    /// A setting that the block does not support.
     UnknownSetting {
-        /// The name that was found.
+        /// Name of the unknown setting.
         name: String,
-        /// The names that the block has, separated by commas.
+        /// Names of the supported settings, separated by commas.
         known: String,
     },
-    /// A setting stands in its block more than once.
-    RepeatedSetting(String),
-    /// The cost of a class is given more than once.
-    RepeatedCost(String),
-    /// A block lacks a setting that it needs.
+    /// A setting occurs more than once in its block.
+    DuplicateSetting(String),
+    /// The cost of a class is set more than once.
+    DuplicateCost(String),
+    /// A required setting is missing.
     MissingSetting {
         /// The block.
         block: String,
-        /// The setting that it needs.
+        /// The required setting.
         name: &'static str,
     },
-    /// The arguments of a setting are not of the expected form.
-    Form {
+    /// A setting has the wrong number or kind of arguments.
+    InvalidArguments {
         /// The setting.
         setting: String,
-        /// What it takes.
+        /// Description of the expected arguments.
         expected: String,
     },
-    /// A setting has a value that it does not take.
-    Value {
+    /// The value of a setting is not valid.
+    InvalidValue {
         /// The setting.
         setting: String,
-        /// The value as it stands in the file.
+        /// The value in the file.
         found: String,
-        /// The values that the setting takes.
+        /// Description of the valid values.
         expected: String,
     },
-    /// More than two signing keys are named.
+    /// More than two signing keys are configured.
     TooManyKeys,
     /// Two gateways of the group have the same name.
-    RepeatedMemberName(String),
+    DuplicateMemberName(String),
     /// Two gateways of the group have the same address.
-    RepeatedMemberAddress(SocketAddr),
-    /// No gateway of the group has the name of this one.
-    NotAMember(String),
-    /// Neither the file nor the configuration names the gateways of the group.
+    DuplicateMemberAddress(SocketAddr),
+    /// The name of this gateway is not among the members of the group.
+    GatewayNotListed(String),
+    /// Neither the operator's file nor the configuration lists the gateways of the group.
     NoMembers,
-    /// The group has another size than the settings say.
-    MemberCount {
-        /// Gateways that the file or the configuration names.
-        named: usize,
-        /// Gateways by the settings.
+    /// The number of listed gateways differs from the settings.
+    MemberCountMismatch {
+        /// Number of gateways in the operator's file or the configuration.
+        listed: usize,
+        /// Number of gateways according to the settings.
         expected: usize,
     },
-    /// Neither the file nor the configuration has an address to listen on for gossip.
-    NoGossipAddress,
-    /// The cores need more descriptors than the process may open.
-    Descriptors {
-        /// The cores that the file asks for.
+    /// Neither the operator's file nor the configuration sets a listen address for gossip.
+    NoListenAddress,
+    /// The configured cores need more file descriptors than the process may open.
+    TooFewDescriptors {
+        /// Number of configured cores.
         cores: usize,
-        /// Descriptors that they need.
+        /// Number of file descriptors that they need.
         needed: usize,
-        /// Descriptors that the process may open.
+        /// Maximum number of file descriptors of the process.
         limit: usize,
     },
-    /// A file with a signing key can't be used.
-    Key(PathBuf, KeyFileError),
+    /// A signing key file can't be used.
+    KeyFile(PathBuf, KeyFileError),
     /// The folder for persisted state can't be opened.
     StateFolder(PathBuf, std::io::Error),
 }
@@ -113,30 +113,37 @@
             Self::Syntax(Some(message)) => write!(f, "{message}"),
             Self::Syntax(None) => write!(f, "not a KDL document"),
             Self::UnknownSetting { name, known } => write!(f, "unknown setting '{name}'; expected {known}"),
-            Self::RepeatedSetting(name) => write!(f, "'{name}' stands here a second time"),
-            Self::RepeatedCost(class) => write!(f, "the cost of '{class}' stands here a second time"),
-            Self::MissingSetting { block, name } => write!(f, "'{block}' lacks '{name}'"),
-            Self::Form { setting, expected } => write!(f, "'{setting}' takes {expected}"),
-            Self::Value { setting, found, expected } => {
+            Self::DuplicateSetting(name) => write!(f, "duplicate setting '{name}'"),
+            Self::DuplicateCost(class) => write!(f, "duplicate cost of class '{class}'"),
+            Self::MissingSetting { block, name } => write!(f, "missing setting '{name}' in '{block}'"),
+            Self::InvalidArguments { setting, expected } => {
+                write!(f, "invalid arguments of '{setting}'; expected {expected}")
+            }
+            Self::InvalidValue { setting, found, expected } => {
                 write!(f, "'{setting}' is {found}; expected {expected}")
             }
             Self::TooManyKeys => {
-                write!(f, "at most two keys: the one that signs, and the one before or after it")
+                write!(f, "at most two keys are allowed: the signing key, and the previous or next one")
+            }
+            Self::DuplicateMemberName(name) => write!(f, "duplicate member name \"{name}\""),
+            Self::DuplicateMemberAddress(address) => write!(f, "duplicate member address {address}"),
+            Self::GatewayNotListed(name) => write!(f, "no 'member' has the name of this gateway, \"{name}\""),
+            Self::NoMembers => {
+                write!(f, "no gateways listed: 'peers' has no 'member', and the configuration has no 'peers'")
             }
-            Self::RepeatedMemberName(name) => write!(f, "a second member of the name \"{name}\""),
-            Self::RepeatedMemberAddress(address) => write!(f, "a second member at {address}"),
-            Self::NotAMember(name) => write!(f, "no 'member' is called \"{name}\" as this gateway is"),
-            Self::NoMembers => write!(f, "'peers' names no 'member', and the configuration no 'peers'"),
-            Self::MemberCount { named, expected } => {
-                write!(f, "{named} gateways are named, the settings expect {expected}")
+            Self::MemberCountMismatch { listed, expected } => {
+                write!(f, "{listed} gateways are listed, but the settings expect {expected}")
             }
-            Self::NoGossipAddress => {
-                write!(f, "'peers' lacks 'listen', and the configuration 'peer_listen'")
+            Self::NoListenAddress => {
+                write!(
+                    f,
+                    "no listen address: 'peers' has no 'listen', and the configuration has no 'peer_listen'"
+                )
             }
-            Self::Descriptors { cores, needed, limit } => {
-                write!(f, "{cores} cores need {needed} descriptors; the limit is {limit}")
+            Self::TooFewDescriptors { cores, needed, limit } => {
+                write!(f, "{cores} cores need {needed} file descriptors, but the limit is {limit}")
             }
-            Self::Key(path, error) => write!(f, "key {}: {error}", path.display()),
+            Self::KeyFile(path, error) => write!(f, "key {}: {error}", path.display()),
             Self::StateFolder(path, error) => write!(f, "'state': {}: {error}", path.display()),
         }
     }
@@ -145,32 +152,32 @@
 impl Error for OperatorFileErrorKind {
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
-            Self::Key(_, error) => Some(error),
+            Self::KeyFile(_, error) => Some(error),
             Self::StateFolder(_, error) => Some(error),
             _ => None,
         }
     }
 }
 
-/// Why a file with a signing key can't be used.
+/// Why a signing key file can't be used.
 #[derive(Debug)]
 pub enum KeyFileError {
     /// The file can't be read.
     Io(std::io::Error),
-    /// Users other than the owner may read or write the file; its permission bits.
-    Exposed(u32),
+    /// The file is accessible to users other than its owner; holds its permission bits.
+    InsecurePermissions(u32),
     /// The key is too short.
-    Short(KeyTooShort),
+    TooShort(KeyTooShort),
 }
 
 impl fmt::Display for KeyFileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Io(error) => write!(f, "{error}"),
-            Self::Exposed(mode) => {
-                write!(f, "others may read or write it (mode {mode:03o}); expected 600 or 400")
+            Self::InsecurePermissions(mode) => {
+                write!(f, "file is accessible to group or others (mode {mode:03o}); expected 600 or 400")
             }
-            Self::Short(error) => write!(f, "{error}"),
+            Self::TooShort(error) => write!(f, "{error}"),
         }
     }
 }
@@ -179,8 +186,8 @@
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
             Self::Io(error) => Some(error),
-            Self::Exposed(_) => None,
-            Self::Short(error) => Some(error),
+            Self::InsecurePermissions(_) => None,
+            Self::TooShort(error) => Some(error),
         }
     }
 }
--- a/gateway/src/operator/mod.rs
+++ b/gateway/src/operator/mod.rs
@@ -1,12 +1,12 @@
-//! The operator's configuration file, a KDL document: optional features that the platform's configuration does not
-//! have. Without the file they are off. An unknown setting is an error that names its line.
+//! The operator's file: a KDL document that enables optional features which the platform's configuration does not cover.
+//! Without the file they are off. An unknown setting is an error that gives its line.
 
 pub mod error;
 mod read;
 mod units;
 
 pub use read::read;
-pub use units::{BadUnit, duration, size};
+pub use units::{UnitError, parse_duration, parse_size};
 
 use crate::config::ConfigError;
 use crate::gossip::GossipOptions;
@@ -19,83 +19,84 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The protocol on which the engines are reached.
+/// Protocol between the gateway and the engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum EngineWire {
-    /// RESP, the platform's.
+pub enum EngineProtocol {
+    /// RESP, the engine protocol of the platform.
     #[default]
     Resp,
     /// Arrow Flight SQL.
     FlightSql,
 }
 
-/// Where the budgets of teams are counted.
+/// Where team budgets are tracked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Store {
-    /// In each gateway, which grants its even share.
+pub enum BudgetStore {
+    /// In the memory of each gateway; every gateway grants an equal share of a budget.
     #[default]
     Memory,
-    /// In a Redis at this URL, shared by all gateways.
+    /// In a Redis server at this URL, shared by all gateways.
     Redis(String, SharedStoreOptions),
 }
 
-/// Connections of the Flight SQL front by default.
+/// Default limit of connections to the Flight SQL front.
 pub const DEFAULT_FLIGHT_CONNECTIONS: usize = 64;
-/// Bytes of a message of the Flight SQL front by default.
+/// Default maximum message size of the Flight SQL front, in bytes.
 pub const DEFAULT_FLIGHT_MESSAGE_BYTES: usize = 256 * 1024;
 
-/// The Flight SQL front.
+/// Settings of the Flight SQL front.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FlightFront {
-    /// Where its clients connect.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Connections at most.
+    /// Maximum number of connections.
     pub max_connections: usize,
-    /// Bytes of one message at most.
+    /// Maximum size of a message, in bytes.
     pub max_message_bytes: usize,
 }
 
-/// All features that the file can turn on.
+/// The settings of an operator's file.
 #[derive(Clone, Debug, Default)]
-pub struct Operator {
-    /// Cores that the gateway uses; 0 and 1 both mean one.
+pub struct OperatorConfig {
+    /// Number of cores that the gateway uses; 0 and 1 both mean one.
     pub cores: usize,
-    /// The line of that setting.
+    /// Line of the `cores` setting.
     pub cores_line: usize,
-    /// The second front; off without it.
+    /// The Flight SQL front; `None` if it is off.
     pub flight: Option<FlightFront>,
-    /// How the engines are reached.
-    pub engines: EngineWire,
-    /// Contracts of the teams; without any, nothing is checked.
+    /// Protocol of the connections to engines.
+    pub engine_protocol: EngineProtocol,
+    /// Contracts of the teams; `None` disables quota checks.
     pub contracts: Option<Vec<Contract>>,
-    /// Where budgets are counted.
-    pub store: Store,
-    /// How gateways gossip; off without it.
+    /// Where team budgets are tracked.
+    pub store: BudgetStore,
+    /// Gossip between gateways; `None` if it is off.
     pub peers: Option<GossipOptions>,
-    /// Where state is persisted for the next process; off without it.
+    /// Persistence of state across restarts; `None` if it is off.
     pub state: Option<PersistenceOptions>,
 }
 
-impl Operator {
-    /// Checks what the limits of the process allow.
+impl OperatorConfig {
+    /// Checks the settings against the resource limits of the process.
     ///
     /// # Errors
-    /// Names the line that exceeds them.
+    /// If a setting exceeds them; the error gives its line.
     pub fn check(&self, limits: &Limits) -> Result<(), OperatorFileError> {
         let needed = self.cores * MIN_DESCRIPTORS_PER_CORE;
         if self.cores <= 1 || needed <= limits.sockets {
             return Ok(());
         }
-        let kind = OperatorFileErrorKind::Descriptors { cores: self.cores, needed, limit: limits.sockets };
+        let kind =
+            OperatorFileErrorKind::TooFewDescriptors { cores: self.cores, needed, limit: limits.sockets };
         Err(OperatorFileError { line: self.cores_line, kind })
     }
 }
 
-/// Reads the operator's file.
+/// Reads and parses the operator's file.
 ///
 /// # Errors
-/// What is wrong with it, and where.
-pub fn read_file(path: &Path) -> Result<Operator, ConfigError> {
+/// If the file can't be read or is not valid.
+pub fn read_file(path: &Path) -> Result<OperatorConfig, ConfigError> {
     let text = std::fs::read_to_string(path).map_err(|error| ConfigError::Unreadable(path.into(), error))?;
     read(&text).map_err(|error| ConfigError::Operator(path.into(), error))
 }
--- a/gateway/src/serve/assembly.rs
+++ b/gateway/src/serve/assembly.rs
@@ -1,15 +1,15 @@
-//! Assembly of the program: in which order the subsystems are started.
+//! Start-up of the gateway: starts the subsystems in order of their dependencies.
 
 use super::ServeError;
-use super::base::{Base, GossipChannels};
-use super::reload::Reloads;
+use super::base::{GossipChannels, StartupContext};
+use super::reload::ConfigReloader;
 use super::running::Running;
 use crate::broker::{Broker, BrokerOptions, QUEUE_CAPACITY};
 use crate::config::Config;
 use crate::discovery;
 use crate::gossip::{self, GossipGroup};
 use crate::message::GossipHandle;
-use crate::operator::{EngineWire, Operator};
+use crate::operator::{EngineProtocol, OperatorConfig};
 use crate::persistence;
 use crate::shutdown::Phase;
 use reedwalk_operations::ProcessStage;
@@ -20,72 +20,76 @@
 /// Starts all subsystems.
 ///
 /// # Errors
-/// Where the program can't start.
-pub async fn start(mut config: Config, operator: Operator, log: &Logger) -> Result<Running, ServeError> {
-    operator.check(&config.limits).map_err(ServeError::Operator)?;
+/// If a setting is invalid or a subsystem can't be started.
+pub async fn start(
+    mut config: Config,
+    operator: OperatorConfig,
+    log: &Logger,
+) -> Result<Running, ServeError> {
+    operator.check(&config.limits).map_err(ServeError::OperatorFile)?;
     let group = gossip_group(&config, &operator, log)?;
-    let (reloads, sources) = Reloads::new(&config, log);
+    let (reloader, sources) = ConfigReloader::new(&config, log);
     let owner = operator.state.as_ref().map(|_| persistence::owner(&config));
-    let (phase, phases) = watch::channel(Phase::Open);
-    let (events, received) = mpsc::channel(QUEUE_CAPACITY);
-    if operator.engines == EngineWire::FlightSql {
-        // Flight SQL has no progress reports: their absence must not be taken for an engine's silence.
+    let (phase, phase_receiver) = watch::channel(Phase::Open);
+    let (events, event_receiver) = mpsc::channel(QUEUE_CAPACITY);
+    if operator.engine_protocol == EngineProtocol::FlightSql {
+        // Flight SQL has no progress reports, so their absence must not count as an unresponsive engine.
         config.deployment.scheduler.engine.progress_interval = None;
     }
     let settings = config.deployment.scheduler.clone();
     let mut scheduler = Scheduler::new(settings, config.seed).map_err(ServeError::Settings)?;
-    let base = Base::new(config, operator, events, phases, log)?;
-    let processes = base.join_processes();
-    let shared_store = base.connect_shared_store()?;
+    let startup = StartupContext::new(config, operator, events, phase_receiver, log)?;
+    let process_group = startup.join_process_group();
+    let shared_store = startup.connect_shared_store()?;
     let (gossip_handle, gossip_channels) = gossip_channels();
     let gossip_handle = group.is_some().then_some(gossip_handle);
-    let context = base.broker_context(&processes, shared_store.clone(), gossip_handle);
-    let registry = base.start_registry(&processes, context.endpoints.clone())?;
+    let context = startup.broker_context(&process_group, shared_store.clone(), gossip_handle);
+    let registry = startup.start_registry(&process_group, context.endpoints.clone())?;
     let (gossip_closing, closing) = watch::channel(false);
     if let Some(group) = group {
-        base.start_gossip(group, gossip_channels, &registry, sources.clone(), closing);
+        startup.start_gossip(group, gossip_channels, &registry, sources.clone(), closing);
     }
-    let recovery = base.restore_state(owner, &registry, &mut scheduler)?;
-    let console = base.start_console(&registry)?;
-    let transport = base.engine_transport();
-    let quotas = base.start_quotas(shared_store)?;
+    let recovery = startup.restore_state(owner, &registry, &mut scheduler)?;
+    let console = startup.start_console(&registry)?;
+    let transport = startup.engine_transport();
+    let quotas = startup.start_quotas(shared_store)?;
     let options = BrokerOptions { quotas: quotas.clone(), recovery };
-    let broker_log = base.log_of("broker");
-    let events = base.events.clone();
-    let broker = Broker::new(scheduler, transport, &base.deployment, options, context, events, broker_log);
-    let broker_ended = base.start_broker(broker, received);
-    let lost_cores = base.watch_cores();
-    tokio::spawn(discovery::watch(sources, registry, base.config.seed, base.log_of("discovery")));
-    let fronts = base.start_fronts(quotas, &processes).await?;
-    base.health.set_serving(true);
-    processes.stage.send_replace(ProcessStage::Serving);
-    let deadlines = base.deployment.scheduler.classes.iter().map(|class| class.deadline);
+    let broker_log = startup.module_log("broker");
+    let events = startup.events.clone();
+    let broker = Broker::new(scheduler, transport, &startup.deployment, options, context, events, broker_log);
+    let broker_ended = startup.start_broker(broker, event_receiver);
+    let lost_cores = startup.watch_cores();
+    tokio::spawn(discovery::watch(sources, registry, startup.config.seed, startup.module_log("discovery")));
+    let fronts = startup.start_fronts(quotas, &process_group).await?;
+    startup.health.set_serving(true);
+    process_group.stage.send_replace(ProcessStage::Serving);
+    let deadlines = startup.deployment.scheduler.classes.iter().map(|class| class.deadline);
     Ok(Running {
         mysql: fronts.mysql,
         console,
         flight: fronts.flight,
         longest_deadline: deadlines.max().unwrap_or_default(),
         phase,
-        health: base.health,
-        stage: processes.stage,
-        share: processes.share,
-        reloads,
+        health: startup.health,
+        stage: process_group.stage,
+        capacity_share: process_group.capacity_share,
+        reloader,
         gossip_closing,
-        sessions: fronts.sessions,
-        multicore: base.multicore,
+        sessions_closed: fronts.sessions_closed,
+        multicore: startup.multicore,
         broker_ended,
         lost_cores,
     })
 }
 
-/// The gateways that this one gossips with, if it does.
+/// The gossip group; `None` if gossip is not configured or the settings forbid it.
 fn gossip_group(
     config: &Config,
-    operator: &Operator,
+    operator: &OperatorConfig,
     log: &Logger,
 ) -> Result<Option<GossipGroup>, ServeError> {
     let Some(options) = &operator.peers else { return Ok(None) };
-    let group = gossip::group(options, config).map_err(ServeError::Operator)?;
+    let group = gossip::resolve_group(options, config).map_err(ServeError::OperatorFile)?;
     if group.is_none() {
         warn!(log, "gossip disabled by the settings");
     }
@@ -93,8 +97,8 @@
 }
 
 fn gossip_channels() -> (GossipHandle, GossipChannels) {
-    let (outliers, reported) = mpsc::channel(gossip::MAX_PENDING_OUTLIERS);
-    let (observations, observed) = watch::channel(Vec::new());
-    let channels = GossipChannels { outliers: reported, observations: observed };
+    let (outliers, outlier_receiver) = mpsc::channel(gossip::MAX_PENDING_OUTLIERS);
+    let (observations, observation_receiver) = watch::channel(Vec::new());
+    let channels = GossipChannels { outliers: outlier_receiver, observations: observation_receiver };
     (GossipHandle { outliers, observations }, channels)
 }
--- a/gateway/src/serve/base.rs
+++ b/gateway/src/serve/base.rs
@@ -1,4 +1,4 @@
-//! The state that all steps of the assembly share.
+//! State shared by the steps of the start-up.
 
 use super::ServeError;
 use super::listeners::{AddressUse, file_stem};
@@ -9,7 +9,7 @@
 use crate::message::{BrokerEvent, OutlierReport};
 use crate::metrics::Metrics;
 use crate::multicore::Multicore;
-use crate::operator::Operator;
+use crate::operator::OperatorConfig;
 use crate::shutdown::Phase;
 use reedwalk_operations::{CapacityShare, ProcessStage};
 use reedwalk_scheduler::EngineObservation;
@@ -20,10 +20,10 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
 
-/// What every step needs.
-pub(super) struct Base {
+/// Handles and settings that every start-up step needs.
+pub(super) struct StartupContext {
     pub(super) config: Config,
-    pub(super) operator: Operator,
+    pub(super) operator: OperatorConfig,
     pub(super) deployment: Arc<Deployment>,
     pub(super) sockets: Arc<Sockets>,
     pub(super) events: mpsc::Sender<BrokerEvent>,
@@ -34,33 +34,35 @@
     pub(super) log: Logger,
 }
 
-/// This process among those of its gateway in a hot restart.
-pub(super) struct Processes {
-    /// Folder and stem of the files that they share; `None` without a console.
-    pub(super) files: Option<(PathBuf, String)>,
-    pub(super) share: watch::Receiver<CapacityShare>,
+/// State of this process among the processes of the same gateway, which coexist during a hot restart.
+pub(super) struct ProcessGroup {
+    /// Folder and name prefix of the files that the processes share; `None` without a console.
+    pub(super) shared_files: Option<(PathBuf, String)>,
+    /// Share of the gateway's capacity that this process may use.
+    pub(super) capacity_share: watch::Receiver<CapacityShare>,
     pub(super) stage: watch::Sender<ProcessStage>,
+    /// Whether another process of this gateway was running at the start.
     pub(super) is_second: bool,
 }
 
-/// The fronts, once they accept clients.
+/// The fronts after they have started to accept clients.
 pub(super) struct Fronts {
     pub(super) mysql: SocketAddr,
     pub(super) flight: Option<SocketAddr>,
-    /// Ends once every session has ended.
-    pub(super) sessions: mpsc::Receiver<()>,
+    /// Closed once every session has ended.
+    pub(super) sessions_closed: mpsc::Receiver<()>,
 }
 
-/// The receiving ends of what the broker reports to the gossip task.
+/// Receivers of the broker's reports to the gossip task.
 pub(super) struct GossipChannels {
     pub(super) outliers: mpsc::Receiver<OutlierReport>,
     pub(super) observations: watch::Receiver<Vec<EngineObservation>>,
 }
 
-impl Base {
+impl StartupContext {
     pub(super) fn new(
         config: Config,
-        operator: Operator,
+        operator: OperatorConfig,
         events: mpsc::Sender<BrokerEvent>,
         phase: watch::Receiver<Phase>,
         log: &Logger,
@@ -73,28 +75,29 @@
         Ok(Self { config, operator, deployment, sockets, events, multicore, metrics, health, phase, log })
     }
 
-    /// A logger whose records name the module that writes them.
-    pub(super) fn log_of(&self, module: &'static str) -> Logger {
+    /// A logger that adds the name of a module to its records.
+    pub(super) fn module_log(&self, module: &'static str) -> Logger {
         logging::for_module(&self.log, module)
     }
 
-    /// With a console, another process of this gateway may listen at the same addresses during a hot restart.
+    /// Addresses are shared only if there is a console, because a hot restart requires one.
     pub(super) fn address_use(&self) -> AddressUse {
         if self.config.console.is_some() { AddressUse::Shared } else { AddressUse::Exclusive }
     }
 
-    /// Joins the other processes of this gateway. Only one that operators can reach has any, or files to share.
-    pub(super) fn join_processes(&self) -> Processes {
-        let (stage, stages) = watch::channel(ProcessStage::Starting);
+    /// Joins the other processes of this gateway. A process without a console takes no part in hot restarts and shares no
+    /// files.
+    pub(super) fn join_process_group(&self) -> ProcessGroup {
+        let (stage, stage_receiver) = watch::channel(ProcessStage::Starting);
         if self.config.console.is_none() {
-            let (_, share) = watch::channel(CapacityShare::default());
-            return Processes { files: None, share, stage, is_second: false };
+            let (_, capacity_share) = watch::channel(CapacityShare::default());
+            return ProcessGroup { shared_files: None, capacity_share, stage, is_second: false };
         }
         let folder = self.config.folder.clone();
         let stem = file_stem(&self.config.name, self.config.listen);
-        let hot_restart = HotRestart::enter(&folder, &stem, self.log_of("hot_restart"));
-        let (share, is_second) = (hot_restart.share(), hot_restart.is_second());
-        tokio::spawn(hot_restart.watch(stages));
-        Processes { files: Some((folder, stem)), share, stage, is_second }
+        let hot_restart = HotRestart::enter(&folder, &stem, self.module_log("hot_restart"));
+        let (capacity_share, is_second) = (hot_restart.share(), hot_restart.is_second());
+        tokio::spawn(hot_restart.watch(stage_receiver));
+        ProcessGroup { shared_files: Some((folder, stem)), capacity_share, stage, is_second }
     }
 }
--- a/gateway/src/serve/listeners.rs
+++ b/gateway/src/serve/listeners.rs
@@ -1,4 +1,4 @@
-//! Listening sockets, and the names of the files that the processes of one gateway share.
+//! Listening sockets, and the name prefix of the files that the processes of a gateway share.
 
 use super::ServeError;
 use std::net::SocketAddr;
@@ -6,19 +6,19 @@
 
 /// Length of the listen backlog, in connections.
 const BACKLOG: u32 = 1024;
-/// Characters of the gateway's name that its file names have at most.
+/// Maximum number of characters of the gateway's name in its file names.
 const MAX_NAME_CHARACTERS: usize = 40;
 
-/// Whether a listening address is shared with another process of this gateway (hot restart).
+/// Whether another process of this gateway may listen at the same address, as during a hot restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AddressUse {
-    /// No other process listens there.
+    /// No other process may listen at the address.
     Exclusive,
-    /// Another process may listen there (SO_REUSEPORT).
+    /// Other processes may listen at the address (SO_REUSEPORT).
     Shared,
 }
 
-/// Listens on an address. Returns the address with its port, where the system was to choose one.
+/// Listens on an address. Returns the bound address, in which port 0 is replaced by the port that the system chose.
 pub(super) fn listen(
     address: SocketAddr,
     address_use: AddressUse,
@@ -37,7 +37,7 @@
     Ok((listener, address))
 }
 
-/// How the names of this gateway's files begin: the same for each of its processes, and for no other gateway's.
+/// The name prefix of this gateway's files: the same for all of its processes, and different from other gateways'.
 pub(super) fn file_stem(name: &str, listen: SocketAddr) -> String {
     let name: String = name.chars().filter(char::is_ascii_alphanumeric).take(MAX_NAME_CHARACTERS).collect();
     format!("reedwalk-{name}-{}-{}", listen.ip(), listen.port()).replace(':', "_")
--- a/gateway/src/serve/mod.rs
+++ b/gateway/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! Starting and running the program: [`start`] assembles the subsystems, [`serve`] runs them until SIGTERM.
+//! Start-up, operation and shutdown of the gateway: [`start`] starts the subsystems, [`serve`] runs them until SIGTERM.
 
 mod assembly;
 mod base;
@@ -8,12 +8,12 @@
 mod subsystems;
 
 pub use assembly::start;
-pub use reload::Reloads;
+pub use reload::ConfigReloader;
 pub use running::Running;
 pub use subsystems::quotas;
 
 use crate::config::{Config, ConfigError};
-use crate::operator::Operator;
+use crate::operator::OperatorConfig;
 use crate::operator::error::OperatorFileError;
 use crate::quotas::BadContract;
 use crate::shutdown::{SignalRequest, Signals};
@@ -21,22 +21,22 @@
 use std::fmt;
 use tokio::time::Instant;
 
-/// Why the program could not serve.
+/// Why the gateway failed to start or stopped serving.
 #[derive(Debug)]
 pub enum ServeError {
-    /// A listening address could not be taken, or another system call failed: which, and why.
+    /// A system call failed; holds the step at which it was made and the error.
     Io(&'static str, std::io::Error),
     /// The settings are not valid.
     Settings(reedwalk_scheduler::SettingsError),
     /// The endpoint list of the configuration can't be read.
-    Known(serde_json::Error),
+    EndpointList(serde_json::Error),
     /// A contract is not valid.
     Contract(BadContract),
     /// The URL of the shared store is not valid.
-    Store(redis::RedisError),
-    /// The operator's file asks for what the limits do not allow.
-    Operator(OperatorFileError),
-    /// The broker's task has ended before its time.
+    SharedStore(redis::RedisError),
+    /// The operator's file conflicts with the configuration or with the resource limits.
+    OperatorFile(OperatorFileError),
+    /// The broker task ended before the shutdown.
     BrokerEnded,
 }
 
@@ -45,11 +45,11 @@
         match self {
             Self::Io(what, error) => write!(f, "{what}: {error}"),
             Self::Settings(error) => write!(f, "{error}"),
-            Self::Known(error) => write!(f, "known: {error}"),
+            Self::EndpointList(error) => write!(f, "known: {error}"),
             Self::Contract(error) => write!(f, "{error}"),
-            Self::Store(error) => write!(f, "store: {error}"),
-            Self::Operator(error) => write!(f, "operator's file: {error}"),
-            Self::BrokerEnded => write!(f, "the broker's task has ended"),
+            Self::SharedStore(error) => write!(f, "store: {error}"),
+            Self::OperatorFile(error) => write!(f, "operator's file: {error}"),
+            Self::BrokerEnded => write!(f, "the broker task ended unexpectedly"),
         }
     }
 }
@@ -59,37 +59,37 @@
         match self {
             Self::Io(_, error) => Some(error),
             Self::Settings(error) => Some(error),
-            Self::Known(error) => Some(error),
+            Self::EndpointList(error) => Some(error),
             Self::Contract(error) => Some(error),
-            Self::Store(error) => Some(error),
-            Self::Operator(error) => Some(error),
+            Self::SharedStore(error) => Some(error),
+            Self::OperatorFile(error) => Some(error),
             Self::BrokerEnded => None,
         }
     }
 }
 
-/// Serves until SIGTERM, and then until every accepted request is answered. At SIGHUP, also during the shutdown, the
-/// configuration is read again with `read`.
+/// Serves until SIGTERM, then shuts down once every accepted request is answered. On SIGHUP, also during the shutdown, the
+/// configuration is reloaded with `read`.
 ///
 /// # Errors
-/// Where the program can't start, or its broker ends before its time.
+/// If the gateway can't start, or its broker task ends before the shutdown.
 pub async fn serve(
     config: Config,
-    operator: Operator,
+    operator: OperatorConfig,
     read: impl Fn() -> Result<Config, ConfigError>,
     log: Logger,
 ) -> Result<(), ServeError> {
-    // Before anything else: as long as no handler is installed, SIGHUP ends the program.
+    // Installed first: without a handler, SIGHUP terminates the process.
     let mut signals = Signals::new().map_err(|error| ServeError::Io("signals", error))?;
     let running = start(config, operator, &log).await?;
     info!(log, "serving"; "mysql" => %running.mysql, "console" => ?running.console, "flight" => ?running.flight);
-    let reloads = running.reloads();
+    let reloader = running.reloader();
     let broker_ended = running.broker_ended();
     tokio::pin!(broker_ended);
     loop {
         tokio::select! {
             request = signals.next() => match request {
-                SignalRequest::Reload => reloads.reload(&read),
+                SignalRequest::Reload => reloader.reload(&read),
                 SignalRequest::Shutdown => break,
             },
             () = &mut broker_ended => return Err(ServeError::BrokerEnded),
@@ -98,7 +98,7 @@
     let terminated_at = Instant::now();
     info!(log, "shutdown started");
     let shutdown = async {
-        running.overlap(terminated_at).await;
+        running.begin_shutdown(terminated_at).await;
         running.close(terminated_at).await;
     };
     tokio::pin!(shutdown);
@@ -106,7 +106,7 @@
         tokio::select! {
             () = &mut shutdown => break,
             request = signals.next() => if request == SignalRequest::Reload {
-                reloads.reload(&read);
+                reloader.reload(&read);
             },
         }
     }
--- a/gateway/src/serve/reload.rs
+++ b/gateway/src/serve/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of the configuration at SIGHUP.
+//! Reload of the configuration on SIGHUP.
 
 use crate::config::{Config, ConfigError};
 use crate::discovery::DiscoverySource;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// What only a restart can change.
+/// Settings that only take effect at a restart.
 #[derive(Debug)]
 struct FixedConfig {
     listen: SocketAddr,
@@ -19,16 +19,16 @@
     deployment: Deployment,
 }
 
-/// Where a new configuration goes while the program runs; cheap to clone.
+/// Applies a new configuration to the running gateway; cheap to clone.
 #[derive(Clone, Debug)]
-pub struct Reloads {
+pub struct ConfigReloader {
     source: watch::Sender<DiscoverySource>,
     fixed: Arc<FixedConfig>,
     log: Logger,
 }
 
-impl Reloads {
-    /// For a program that starts with this configuration. The receiver gets the source of the endpoint list.
+impl ConfigReloader {
+    /// Creates a reloader for the configuration used at the start. The receiver gets each new source of the endpoint list.
     pub(super) fn new(config: &Config, log: &Logger) -> (Self, watch::Receiver<DiscoverySource>) {
         let (source, sources) = watch::channel(DiscoverySource { server: config.names, known: None });
         let fixed = FixedConfig {
@@ -40,24 +40,24 @@
         (Self { source, fixed: Arc::new(fixed), log: logging::for_module(log, "reload") }, sources)
     }
 
-    /// Takes over what may change in a configuration that has been validated: where the name server is. The endpoint
-    /// list and its serial stay, as do all requests and sessions. What only a restart can change is logged.
+    /// Applies the settings of a validated configuration that may change at run time: the source of the endpoint list. The
+    /// current list and its serial stay, as do all requests and sessions. Changes that need a restart are logged.
     pub fn apply(&self, config: Config) {
         let fixed = &*self.fixed;
-        let differs = [
+        let changes = [
             (config.listen != fixed.listen, "listen"),
             (config.console != fixed.console, "console"),
             (config.limits != fixed.limits, "limits"),
             (config.deployment != fixed.deployment, "settings"),
         ];
-        for (_, setting) in differs.iter().filter(|(has_changed, _)| *has_changed) {
+        for (_, setting) in changes.iter().filter(|(has_changed, _)| *has_changed) {
             warn!(self.log, "setting needs a restart to change"; "setting" => setting);
         }
         info!(self.log, "configuration reloaded"; "name_server" => ?config.names);
         self.source.send_replace(DiscoverySource { server: config.names, known: config.known });
     }
 
-    /// Reads the configuration again; one that can't be read, or is not valid, changes nothing.
+    /// Reloads the configuration; one that can't be read or is not valid changes nothing.
     pub(super) fn reload(&self, read: &impl Fn() -> Result<Config, ConfigError>) {
         match read().and_then(Config::validate) {
             Ok(config) => self.apply(config),
--- a/gateway/src/serve/running.rs
+++ b/gateway/src/serve/running.rs
@@ -1,6 +1,6 @@
-//! A program that has started, and its shutdown.
+//! Handle to a running gateway, and its shutdown.
 
-use super::reload::Reloads;
+use super::reload::ConfigReloader;
 use crate::health::Health;
 use crate::multicore::Multicore;
 use crate::shutdown::{OVERLAP, Phase, ShutdownDeadlines};
@@ -11,30 +11,30 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, timeout_at};
 
-/// A program that has started.
+/// A running gateway process.
 #[derive(Debug)]
 pub struct Running {
-    /// Where MySQL clients connect.
+    /// Address of the MySQL front.
     pub mysql: SocketAddr,
-    /// Where operators connect, if the console is on.
+    /// Address of the console, if it is on.
     pub console: Option<SocketAddr>,
-    /// Where Flight SQL clients connect, if that front is on.
+    /// Address of the Flight SQL front, if it is on.
     pub flight: Option<SocketAddr>,
-    /// Longest deadline of any class.
+    /// Longest deadline of all classes.
     pub(super) longest_deadline: Duration,
     pub(super) phase: watch::Sender<Phase>,
     pub(super) health: Health,
     pub(super) stage: watch::Sender<ProcessStage>,
-    pub(super) share: watch::Receiver<CapacityShare>,
-    pub(super) reloads: Reloads,
-    /// Tells the gossip task that this process shuts down.
+    pub(super) capacity_share: watch::Receiver<CapacityShare>,
+    pub(super) reloader: ConfigReloader,
+    /// Notifies the gossip task of the shutdown.
     pub(super) gossip_closing: watch::Sender<bool>,
-    /// Ends once every session has ended.
-    pub(super) sessions: mpsc::Receiver<()>,
+    /// Closed once every session has ended.
+    pub(super) sessions_closed: mpsc::Receiver<()>,
     pub(super) multicore: Multicore,
-    /// True once the broker's task has ended.
+    /// True once the broker task has ended.
     pub(super) broker_ended: watch::Receiver<bool>,
-    /// Dropping it ends the watch over the cores.
+    /// Receives the index of each core whose thread has ended; dropping it ends the monitoring of the cores.
     pub(super) lost_cores: mpsc::Receiver<usize>,
 }
 
@@ -45,17 +45,17 @@
 }
 
 impl Running {
-    /// The cores that it runs on.
+    /// The threads that the gateway runs on, one for each core.
     pub fn multicore(&self) -> Multicore {
         self.multicore.clone()
     }
 
-    /// Waits until the next core has ended, and returns its number.
+    /// Waits until the thread of a core ends, and returns the index of that core.
     pub async fn next_lost_core(&mut self) -> Option<usize> {
         self.lost_cores.recv().await
     }
 
-    /// Returns once the broker's task has ended: no request is processed any more.
+    /// Waits until the broker task has ended; no requests are processed from then on.
     pub fn broker_ended(&self) -> impl Future<Output = ()> + use<> {
         let mut broker_ended = self.broker_ended.clone();
         async move {
@@ -63,34 +63,36 @@
         }
     }
 
-    /// Where a new configuration goes.
-    pub fn reloads(&self) -> Reloads {
-        self.reloads.clone()
+    /// A handle that applies a new configuration.
+    pub fn reloader(&self) -> ConfigReloader {
+        self.reloader.clone()
     }
 
-    /// Announces the shutdown, and returns once another process of this gateway accepts clients at the same address,
-    /// or after the overlap: until then new clients have nowhere else to connect. SIGTERM came at `terminated_at`.
-    pub async fn overlap(&self, terminated_at: Instant) {
+    /// Announces the shutdown and waits until another process of this gateway accepts clients at the same address, for at
+    /// most [`OVERLAP`] after SIGTERM, received at `terminated_at`. Clients are still accepted during this time, because
+    /// they may have nowhere else to connect.
+    pub async fn begin_shutdown(&self, terminated_at: Instant) {
         let deadlines = ShutdownDeadlines::new(terminated_at, self.longest_deadline);
         self.phase.send_replace(Phase::Ending(deadlines));
         self.stage.send_replace(ProcessStage::Closing);
         self.gossip_closing.send_replace(true);
-        let mut share = self.share.clone();
+        let mut share = self.capacity_share.clone();
         let relieved = async {
             if share.wait_for(|share| share.relieved).await.is_err() {
-                // Without a console there is no hot restart, and no other process to wait for.
+                // The sender is dropped without a console: no other process can take over, so wait for the timeout.
                 std::future::pending::<()>().await;
             }
         };
         let _ = timeout_at(terminated_at + OVERLAP, relieved).await;
     }
 
-    /// Closes the fronts to new clients and waits until every accepted request is answered. SIGTERM came at `terminated_at`.
+    /// Closes the fronts to new clients and waits until every accepted request is answered. SIGTERM was received at
+    /// `terminated_at`.
     pub async fn close(mut self, terminated_at: Instant) {
         let deadlines = ShutdownDeadlines::new(terminated_at, self.longest_deadline);
         self.phase.send_replace(Phase::Closing(deadlines));
         self.health.set_serving(false);
-        // Each session holds a sender: when all are dropped, every accepted request has been answered.
-        let _ = timeout_at(deadlines.gone, self.sessions.recv()).await;
+        // Each session holds a sender. Once all are dropped, every accepted request has been answered.
+        let _ = timeout_at(deadlines.gone, self.sessions_closed.recv()).await;
     }
 }
--- a/gateway/src/serve/subsystems.rs
+++ b/gateway/src/serve/subsystems.rs
@@ -1,7 +1,7 @@
-//! The steps of the assembly: each starts one subsystem and returns a handle to it.
+//! The steps of the start-up: each starts one subsystem and returns its handle, if it has one.
 
 use super::ServeError;
-use super::base::{Base, Fronts, GossipChannels, Processes};
+use super::base::{Fronts, GossipChannels, ProcessGroup, StartupContext};
 use super::listeners::{AddressUse, listen};
 use crate::broker::{Broker, BrokerContext, RecoverySetup, RequestQueue};
 use crate::console::Console;
@@ -16,7 +16,7 @@
 use crate::hot_restart::HANDOVER_DELAY;
 use crate::message::{BrokerEvent, EndpointMailbox, EngineTransport, GossipHandle};
 use crate::operator::error::{OperatorFileError, OperatorFileErrorKind};
-use crate::operator::{EngineWire, Operator, Store};
+use crate::operator::{BudgetStore, EngineProtocol, OperatorConfig};
 use crate::persistence;
 use crate::quotas::QuotaManager;
 use crate::registry::EndpointRegistry;
@@ -34,15 +34,15 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// Share of the descriptors that connections to engines may hold; client sessions take 0.6.
+/// Maximum share of the file descriptors that connections to engines may hold; client sessions take 0.6.
 const ENGINE_DESCRIPTOR_SHARE: f64 = 0.3;
 
-/// The quotas of an operator's file; `None` where it names no contracts, and nothing is checked.
+/// The quotas defined in the operator's file; `None` if it has no contracts, which disables quota checks.
 ///
 /// # Errors
-/// Where a contract is not valid.
+/// If a contract is not valid.
 pub fn quotas(
-    operator: &Operator,
+    operator: &OperatorConfig,
     deployment: &Deployment,
     shared_store: Option<Arc<SharedStoreClient>>,
 ) -> Result<Option<QuotaManager>, ServeError> {
@@ -52,51 +52,53 @@
     quotas.map(Some).map_err(ServeError::Contract)
 }
 
-impl Base {
-    /// The client of the shared store, if the operator's file names one.
+impl StartupContext {
+    /// Starts the client of the shared store, if the operator's file configures one.
     pub(super) fn connect_shared_store(&self) -> Result<Option<Arc<SharedStoreClient>>, ServeError> {
-        let Store::Redis(url, options) = &self.operator.store else { return Ok(None) };
+        let BudgetStore::Redis(url, options) = &self.operator.store else { return Ok(None) };
         let classes = self.deployment.scheduler.classes.iter();
-        let deduplication = classes.filter_map(|class| class.idempotency.deduplication());
-        let longest_window = deduplication.map(|keys| keys.window).max().unwrap_or_default();
-        // A random number from the system, so that it differs between processes.
-        let process = RandomState::new().build_hasher().finish();
-        let log = self.log_of("shared_store");
-        let client = SharedStoreClient::new(url, options.clone(), process, longest_window, log);
-        let client = Arc::new(client.map_err(ServeError::Store)?);
+        let deduplications = classes.filter_map(|class| class.idempotency.deduplication());
+        let longest_window =
+            deduplications.map(|deduplication| deduplication.window).max().unwrap_or_default();
+        // Random, so that it differs between processes.
+        let process_id = RandomState::new().build_hasher().finish();
+        let log = self.module_log("shared_store");
+        let client = SharedStoreClient::new(url, options.clone(), process_id, longest_window, log);
+        let client = Arc::new(client.map_err(ServeError::SharedStore)?);
         tokio::spawn(client.clone().run());
         Ok(Some(client))
     }
 
     pub(super) fn broker_context(
         &self,
-        processes: &Processes,
+        process_group: &ProcessGroup,
         shared_store: Option<Arc<SharedStoreClient>>,
         gossip: Option<GossipHandle>,
     ) -> BrokerContext {
         BrokerContext {
             endpoints: EndpointMailbox::default(),
             metrics: self.metrics.clone(),
-            share: processes.share.clone(),
+            share: process_group.capacity_share.clone(),
             phase: self.phase.clone(),
             shared_store: shared_store.filter(|store| store.options().share_keys),
             gossip,
         }
     }
 
-    /// The owner of the endpoint list, with the endpoints of the configuration and the operators' overrides.
+    /// Starts the endpoint registry, with the endpoint list of the configuration and the operators' overrides.
     pub(super) fn start_registry(
         &self,
-        processes: &Processes,
+        process_group: &ProcessGroup,
         endpoints: EndpointMailbox,
     ) -> Result<EndpointRegistry, ServeError> {
-        let overrides = processes.files.as_ref().map(|(folder, stem)| OverrideFile::new(folder, stem));
+        let overrides =
+            process_group.shared_files.as_ref().map(|(folder, stem)| OverrideFile::new(folder, stem));
         let drain_guards = DrainGuards::new(self.deployment.scheduler.rules.drain_grace);
         let list = EndpointList::new(self.sockets.clone());
-        let (metrics, log) = (self.metrics.clone(), self.log_of("registry"));
+        let (metrics, log) = (self.metrics.clone(), self.module_log("registry"));
         let registry = EndpointRegistry::new(list, drain_guards, endpoints, metrics, overrides, log);
         if let Some(known) = &self.config.known {
-            let engines = registry.start(known).map_err(ServeError::Known)?;
+            let engines = registry.start(known).map_err(ServeError::EndpointList)?;
             let serial = registry.serial();
             info!(self.log, "endpoint list of the configuration read"; "gateway" => &self.config.name,
                 "engines" => engines, "serial" => ?serial);
@@ -123,10 +125,10 @@
             metrics: self.metrics.clone(),
             seed: self.config.seed,
         };
-        tokio::spawn(GossipTask::new(group, context, self.log_of("gossip")).run());
+        tokio::spawn(GossipTask::new(group, context, self.module_log("gossip")).run());
     }
 
-    /// Restores what the previous process has persisted, and starts the thread that persists what this one observes.
+    /// Restores the state that the previous process has persisted, and starts the thread that persists this one's.
     pub(super) fn restore_state(
         &self,
         owner: Option<SnapshotOwner>,
@@ -134,17 +136,17 @@
         scheduler: &mut Scheduler,
     ) -> Result<Option<RecoverySetup>, ServeError> {
         let (Some(options), Some(owner)) = (&self.operator.state, owner) else { return Ok(None) };
-        let log = self.log_of("persistence");
+        let log = self.module_log("persistence");
         let folder = persistence::folder::Folder::open(&options.folder).map_err(|error| {
             let kind = OperatorFileErrorKind::StateFolder(options.folder.clone(), error);
-            ServeError::Operator(OperatorFileError { line: options.line, kind })
+            ServeError::OperatorFile(OperatorFileError { line: options.line, kind })
         })?;
         let snapshot = persistence::load_snapshot(&folder, owner, &log).snapshot;
         let now = unix_ms();
         let class_stats = persistence::restored_class_stats(&snapshot, &self.sockets.classes, now);
         scheduler.restore_class_stats(&class_stats);
         for event in persistence::restored_observations(&snapshot, registry, now) {
-            // The broker receives them after the endpoint list, and before any event from outside.
+            // Queued here so that the broker receives them after the endpoint list and before any external event.
             let _ = self.events.try_send(event);
         }
         let (persisted_events, received) = mpsc::channel(persistence::QUEUE_CAPACITY);
@@ -169,7 +171,7 @@
         let Some(address) = self.config.console else { return Ok(None) };
         let (listener, address) = listen(address, AddressUse::Exclusive)?;
         let (health, metrics) = (self.health.clone(), self.metrics.clone());
-        let console = Console::new(health, metrics, registry.clone(), self.log_of("console"));
+        let console = Console::new(health, metrics, registry.clone(), self.module_log("console"));
         tokio::spawn(Arc::new(console).serve(listener));
         Ok(Some(address))
     }
@@ -178,14 +180,14 @@
         let max_connections = (self.config.limits.sockets as f64 * ENGINE_DESCRIPTOR_SHARE) as usize;
         let (sockets, events) = (self.sockets.clone(), self.events.clone());
         let (metrics, multicore) = (self.metrics.clone(), self.multicore.clone());
-        match self.operator.engines {
-            EngineWire::Resp => {
+        match self.operator.engine_protocol {
+            EngineProtocol::Resp => {
                 let interval = self.deployment.scheduler.engine.progress_interval;
                 let transport =
                     resp::Transport::new(sockets, max_connections, interval, events, metrics, multicore);
                 Box::new(transport)
             }
-            EngineWire::FlightSql => {
+            EngineProtocol::FlightSql => {
                 Box::new(flight::Transport::new(sockets, max_connections, events, metrics, multicore))
             }
         }
@@ -202,13 +204,13 @@
         Ok(quotas)
     }
 
-    /// Starts the broker's task. The receiver turns true once it has ended.
+    /// Starts the broker task. The value of the receiver becomes true once the task has ended.
     pub(super) fn start_broker(
         &self,
         broker: Broker<Box<dyn EngineTransport>>,
-        received: mpsc::Receiver<BrokerEvent>,
+        events: mpsc::Receiver<BrokerEvent>,
     ) -> watch::Receiver<bool> {
-        let task = self.multicore.spawn_broker(broker.run(received));
+        let task = self.multicore.spawn_broker(broker.run(events));
         let (ended, broker_ended) = watch::channel(false);
         let log = self.log.clone();
         tokio::spawn(async move {
@@ -220,41 +222,42 @@
         broker_ended
     }
 
-    /// Watches the cores. The receiver gets the number of each that has ended.
+    /// Starts the monitoring of the cores. The receiver gets the index of each core whose thread has ended.
     pub(super) fn watch_cores(&self) -> mpsc::Receiver<usize> {
-        let (lost, lost_cores) = mpsc::channel(1);
-        tokio::spawn(self.multicore.clone().watch(lost, self.log_of("multicore")));
+        let (lost_sender, lost_cores) = mpsc::channel(1);
+        tokio::spawn(self.multicore.clone().watch(lost_sender, self.module_log("multicore")));
         lost_cores
     }
 
-    /// Starts the fronts, once the other process of a hot restart has released half of its connections.
+    /// Starts the fronts. In a hot restart, waits for [`HANDOVER_DELAY`] first: by then the previous process has released
+    /// half of its connections.
     pub(super) async fn start_fronts(
         &self,
         quotas: Option<Arc<QuotaManager>>,
-        processes: &Processes,
+        process_group: &ProcessGroup,
     ) -> Result<Fronts, ServeError> {
         let request_queue = RequestQueue::new(self.events.clone(), self.metrics.clone());
-        if processes.is_second {
+        if process_group.is_second {
             sleep_until(Instant::now() + HANDOVER_DELAY).await;
         }
-        let (session, sessions) = mpsc::channel(1);
+        let (session_guard, sessions_closed) = mpsc::channel(1);
         let (listener, mysql) = listen(self.config.listen, self.address_use())?;
-        let flight = self.start_flight_front(&request_queue, &session)?;
-        self.start_mysql_front(listener, request_queue, quotas, processes, session);
-        Ok(Fronts { mysql, flight, sessions })
+        let flight = self.start_flight_front(&request_queue, &session_guard)?;
+        self.start_mysql_front(listener, request_queue, quotas, process_group, session_guard);
+        Ok(Fronts { mysql, flight, sessions_closed })
     }
 
     pub(super) fn start_flight_front(
         &self,
         request_queue: &RequestQueue,
-        session: &mpsc::Sender<()>,
+        session_guard: &mpsc::Sender<()>,
     ) -> Result<Option<SocketAddr>, ServeError> {
         let Some(options) = self.operator.flight.clone() else { return Ok(None) };
         let (listener, address) = listen(options.listen, self.address_use())?;
         let service = Service::new(request_queue.clone(), self.deployment.clone(), self.config.seed);
         let (multicore, phase) = (self.multicore.clone(), self.phase.clone());
-        let (session, log) = (session.clone(), self.log_of("flight"));
-        tokio::spawn(front::flight::serve(listener, service, options, multicore, phase, session, log));
+        let (session_guard, log) = (session_guard.clone(), self.module_log("flight"));
+        tokio::spawn(front::flight::serve(listener, service, options, multicore, phase, session_guard, log));
         Ok(Some(address))
     }
 
@@ -263,13 +266,13 @@
         listener: TcpListener,
         request_queue: RequestQueue,
         quotas: Option<Arc<QuotaManager>>,
-        processes: &Processes,
-        session: mpsc::Sender<()>,
+        process_group: &ProcessGroup,
+        session_guard: mpsc::Sender<()>,
     ) {
         let (deployment, limits, seed) = (self.deployment.clone(), &self.config.limits, self.config.seed);
         let (multicore, log) = (self.multicore.clone(), self.log.clone());
         let front = Front::new(request_queue, deployment, quotas, limits, seed, multicore, log);
-        let (phase, share) = (self.phase.clone(), processes.share.clone());
-        tokio::spawn(Arc::new(front).serve(listener, phase, share, session));
+        let (phase, share) = (self.phase.clone(), process_group.capacity_share.clone());
+        tokio::spawn(Arc::new(front).serve(listener, phase, share, session_guard));
     }
 }
--- a/gateway/tests/closing.rs
+++ b/gateway/tests/closing.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use futures::future::join_all;
-use reedwalk_gateway::operator::{EngineWire, Operator};
+use reedwalk_gateway::operator::{EngineProtocol, OperatorConfig};
 use reedwalk_gateway::serve::Running;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -52,7 +52,7 @@
     let mut config = config(&engines);
     // Slots for six sessions, and for one rejected connection at a time.
     config.limits.sockets = 10;
-    let gateway = gateway(config, Operator::default()).await;
+    let gateway = gateway(config, OperatorConfig::default()).await;
     let mut busy = Vec::new();
     for n in 0..6 {
         let mut client = Client::connect(gateway.mysql).await;
@@ -161,7 +161,7 @@
     // A field that is absent in a request has no value, whatever the previous one on the session had.
     let test_bed = TestBed::default();
     let engines = [resp::start_engine("a", test_bed.clone()).await];
-    let gateway = gateway(config(&engines), Operator::default()).await;
+    let gateway = gateway(config(&engines), OperatorConfig::default()).await;
     let mut client = Client::connect(gateway.mysql).await;
     let keyed =
         "/* route=batch-post,trace=00000000000000aa,patience=3000,nonce=k1,weight=5.0,space=64 */ INSERT 1";
@@ -181,7 +181,7 @@
 async fn connections_accepted_by_the_system_are_served_at_the_close() {
     let test_bed = TestBed::default();
     let engines = [resp::start_engine("a", test_bed.clone()).await];
-    let gateway = gateway(config(&engines), both_protocols(EngineWire::Resp)).await;
+    let gateway = gateway(config(&engines), both_protocols(EngineProtocol::Resp)).await;
     // They wait in the listeners' queues: the accept loops do not run until the close has begun.
     let connect = |address: SocketAddr| {
         let stream = std::net::TcpStream::connect(address).unwrap();
--- a/gateway/tests/disconnects.rs
+++ b/gateway/tests/disconnects.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use reedwalk_gateway::config::Config;
-use reedwalk_gateway::operator::{EngineWire, FlightFront, Operator};
+use reedwalk_gateway::operator::{EngineProtocol, FlightFront, OperatorConfig};
 use reedwalk_gateway::serve::Running;
 use socket2::SockRef;
 use std::net::SocketAddr;
@@ -136,9 +136,9 @@
 }
 
 /// Both protocols, with room for the Flight connections of these tests.
-fn operator() -> Operator {
-    let flight = FlightFront { max_connections: 256, ..both_protocols(EngineWire::Resp).flight.unwrap() };
-    Operator { flight: Some(flight), ..Operator::default() }
+fn operator() -> OperatorConfig {
+    let flight = FlightFront { max_connections: 256, ..both_protocols(EngineProtocol::Resp).flight.unwrap() };
+    OperatorConfig { flight: Some(flight), ..OperatorConfig::default() }
 }
 
 /// A gateway with both protocols and no engine yet: every request is queued.
@@ -242,7 +242,7 @@
         }
         assert_eq!(disconnected.late_attempts(&test_bed), Vec::<String>::new());
     };
-    tokio::join!(gateway.overlap(Instant::now()), disconnect_in_overlap);
+    tokio::join!(gateway.begin_shutdown(Instant::now()), disconnect_in_overlap);
 }
 
 /// A listener whose queue is full: new connections are established once it is emptied.
--- a/gateway/tests/flight_front.rs
+++ b/gateway/tests/flight_front.rs
@@ -4,7 +4,7 @@
 
 use arrow_flight::{Action, FlightDescriptor};
 use reedwalk_gateway::config::Config;
-use reedwalk_gateway::operator::{EngineWire, Operator};
+use reedwalk_gateway::operator::{EngineProtocol, OperatorConfig};
 use reedwalk_gateway::serve::Running;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -19,7 +19,7 @@
 /// A gateway with two engines on Flight SQL, and a client of it.
 async fn with_engines(test_bed: &TestBed) -> (Running, Client) {
     let gateway =
-        gateway(config(&flight_engines(test_bed).await), both_protocols(EngineWire::FlightSql)).await;
+        gateway(config(&flight_engines(test_bed).await), both_protocols(EngineProtocol::FlightSql)).await;
     let client = Client::connect(gateway.flight.unwrap()).await;
     (gateway, client)
 }
@@ -111,7 +111,7 @@
     let list = endpoint_list(1, vec![listed("s-0", a), listed("s-1", b)]);
     let (server, answers) = discovery_server::start_server(list.clone()).await;
     let config = Config { names: Some(server), ..config(&[a, b]) };
-    let gateway = gateway(config, both_protocols(EngineWire::FlightSql)).await;
+    let gateway = gateway(config, both_protocols(EngineProtocol::FlightSql)).await;
     let client = Client::connect(gateway.flight.unwrap()).await.with_class("lookup", None);
     for n in 0..4 {
         client.query(&format!("SELECT {n}")).await.unwrap();
@@ -140,7 +140,7 @@
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
     let known = config.known.as_mut().unwrap();
     known["results"][0]["fleet"]["servers"][0]["started_ms"] = unix.into();
-    let gateway = gateway(config, both_protocols(EngineWire::FlightSql)).await;
+    let gateway = gateway(config, both_protocols(EngineProtocol::FlightSql)).await;
     let client = Client::connect(gateway.flight.unwrap())
         .await
         .with_class("lookup", None)
@@ -188,7 +188,7 @@
 async fn both_protocols_give_the_same_outcomes() {
     let over_mysql = async {
         let test_bed = TestBed::default();
-        let gateway = gateway(config(&resp_engines(&test_bed).await), Operator::default()).await;
+        let gateway = gateway(config(&resp_engines(&test_bed).await), OperatorConfig::default()).await;
         let mut ends = Vec::new();
         for (class, key, statement, _) in SCENARIO {
             let mut client = mysql::Client::connect(gateway.mysql).await;
@@ -232,7 +232,7 @@
     // A class that must not run twice is retried only where the first attempt surely never ran.
     let test_bed = TestBed::default();
     let engines = [unused_address().await, start_engine("b", test_bed.clone()).await];
-    let gateway = gateway(config(&engines), both_protocols(EngineWire::FlightSql)).await;
+    let gateway = gateway(config(&engines), both_protocols(EngineProtocol::FlightSql)).await;
     let client = Client::connect(gateway.flight.unwrap()).await.with_class("adjust", None);
     for n in 0..4 {
         assert_eq!(outcome(client.query(&format!("SELECT {n}")).await), Outcome::Served);
--- a/gateway/tests/gossip_config.rs
+++ b/gateway/tests/gossip_config.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use reedwalk_gateway::config::Config;
-use reedwalk_gateway::gossip::group;
+use reedwalk_gateway::gossip::resolve_group;
 use reedwalk_gateway::operator;
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
@@ -19,9 +19,9 @@
 /// A description of the group that a block gives, or its error.
 fn described(block: &str, config: &Config) -> Result<String, String> {
     let operator = operator::read(block).map_err(|e| e.to_string())?;
-    let group = group(&operator.peers.unwrap(), config).map_err(|e| e.to_string())?;
+    let group = resolve_group(&operator.peers.unwrap(), config).map_err(|e| e.to_string())?;
     Ok(group.map_or("off".into(), |g| {
-        format!("{} of {} at {} {}", g.me, g.addresses.len(), g.listen, g.describe_signing())
+        format!("{} of {} at {} {}", g.own_id, g.addresses.len(), g.listen, g.describe_signing())
     }))
 }
 
@@ -66,7 +66,7 @@
     assert!(
         described(&block(&format!("{valid}\n {second}")), &two_gateways())
             .unwrap()
-            .ends_with("keys in change")
+            .ends_with("key rotation in progress")
     );
     let cases = [
         (key(&path("short"), b"0123456789", 0o600), "line 5: key", "at least 32 bytes, this one has 10"),
@@ -81,14 +81,21 @@
     let mut unlisted = two_gateways();
     unlisted.name = "n7".into();
     let error = described(&block(""), &unlisted).unwrap_err();
-    assert!(error.contains("line 2") && error.contains("no 'member' is called \"n7\""), "{error}");
+    assert!(
+        error.contains("line 2") && error.contains("no 'member' has the name of this gateway, \"n7\""),
+        "{error}"
+    );
     let mut three = two_gateways();
     three.deployment.scheduler.gateways = 3;
     assert!(
-        described(&block(""), &three).unwrap_err().contains("2 gateways are named, the settings expect 3")
+        described(&block(""), &three)
+            .unwrap_err()
+            .contains("2 gateways are listed, but the settings expect 3")
+    );
+    assert!(
+        described("peers {\n}", &two_gateways()).unwrap_err().contains("the configuration has no 'peers'")
     );
-    assert!(described("peers {\n}", &two_gateways()).unwrap_err().contains("the configuration no 'peers'"));
     let mut without_listen = two_gateways();
     without_listen.peers = vec!["127.0.0.1:5".parse().unwrap(), "127.0.0.1:6".parse().unwrap()];
-    assert!(described("peers {\n}", &without_listen).unwrap_err().contains("lacks 'listen'"));
+    assert!(described("peers {\n}", &without_listen).unwrap_err().contains("'peers' has no 'listen'"));
 }
--- a/gateway/tests/multicore/main.rs
+++ b/gateway/tests/multicore/main.rs
@@ -9,7 +9,7 @@
 mod stalls;
 
 use reedwalk_gateway::config::Config;
-use reedwalk_gateway::operator::Operator;
+use reedwalk_gateway::operator::OperatorConfig;
 use reedwalk_gateway::serve::Running;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -24,8 +24,8 @@
 const DRAIN_GRACE: Duration = Duration::from_secs(2);
 
 /// An operator file with this number of cores.
-fn cores(cores: usize) -> Operator {
-    Operator { cores, ..Operator::default() }
+fn cores(cores: usize) -> OperatorConfig {
+    OperatorConfig { cores, ..OperatorConfig::default() }
 }
 
 /// The core that holds more connections than before.
--- a/gateway/tests/multicore/sessions.rs
+++ b/gateway/tests/multicore/sessions.rs
@@ -65,7 +65,7 @@
     let mut clients = sessions_on_all_cores(&running, 9).await;
     let (server, _) = discovery_server::start_server(endpoint_list(9, vec![listed("s-1", b)])).await;
     let reloaded = Instant::now();
-    running.reloads().apply(Config { names: Some(server), ..config(&[a]) });
+    running.reloader().apply(Config { names: Some(server), ..config(&[a]) });
     // Once one request reaches the new engine, the old one has been removed from the list.
     while test_bed.attempts_at("b") == 0 {
         assert!(reloaded.elapsed() < Duration::from_secs(1));
@@ -82,7 +82,7 @@
 fn excess_cores_are_rejected_with_line_number() {
     let operator = operator::read("// for the busy days\ncores 17").unwrap();
     let error = operator.check(&Limits { sockets: 1024, ..Limits::default() }).unwrap_err();
-    assert_eq!((error.line, error.kind.to_string().contains("1088 descriptors")), (2, true), "{error}");
+    assert_eq!((error.line, error.kind.to_string().contains("1088 file descriptors")), (2, true), "{error}");
     let sufficient = Limits { sockets: 1088, ..Limits::default() };
     assert_eq!(operator.check(&sufficient), Ok(()));
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/cores.kdl");
--- a/gateway/tests/multicore/stalls.rs
+++ b/gateway/tests/multicore/stalls.rs
@@ -7,7 +7,7 @@
 };
 use crate::{DRAIN_GRACE, STALL, SeparateCores, core_of_new_connection, cores, long_objective_config, stall};
 use reedwalk_gateway::config::Config;
-use reedwalk_gateway::operator::{EngineWire, Operator};
+use reedwalk_gateway::operator::{EngineProtocol, OperatorConfig};
 use serde_json::json;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncReadExt;
@@ -163,7 +163,7 @@
     );
     let list = endpoint_list(2, vec![listed("s-0", a)]);
     let (server, _) = discovery_server::start_server(list.clone()).await;
-    let operator = Operator { cores: 4, ..both_protocols(EngineWire::FlightSql) };
+    let operator = OperatorConfig { cores: 4, ..both_protocols(EngineProtocol::FlightSql) };
     let running = gateway(long_objective_config(server, a), operator).await;
     let before = running.multicore().connections_per_core();
     let client = flight::Client::connect(running.flight.unwrap()).await.with_class("lookup", None);
--- a/gateway/tests/mysql_front.rs
+++ b/gateway/tests/mysql_front.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use reedwalk_gateway::config::Config;
-use reedwalk_gateway::operator::Operator;
+use reedwalk_gateway::operator::OperatorConfig;
 use reedwalk_gateway::serve::Running;
 use std::time::{Duration, Instant};
 use support::mysql::{Client, expected_rows, fields, login_packet, query_packet};
@@ -118,7 +118,7 @@
 async fn malformed_answer_fails_nothing_else_on_its_connection() {
     let test_bed = TestBed::default();
     let engines = [resp::start_engine("a", test_bed.clone()).await];
-    let gateway = gateway(config(&engines), Operator::default()).await;
+    let gateway = gateway(config(&engines), OperatorConfig::default()).await;
     let mut other = Client::connect(gateway.mysql).await;
     let mut client = Client::connect(gateway.mysql).await;
     // Two requests on one connection: the malformed answer to the second closes it for both.
@@ -133,7 +133,7 @@
 async fn late_duplicate_error_does_not_end_the_next_attempt() {
     let test_bed = TestBed::default();
     let engines = [resp::start_engine("a", test_bed.clone()).await];
-    let gateway = gateway(config(&engines), Operator::default()).await;
+    let gateway = gateway(config(&engines), OperatorConfig::default()).await;
     let mut client = Client::connect(gateway.mysql).await;
     assert_eq!(client.query(&fields("lookup", 3000, None, "TWICE 1")).await.unwrap(), expected_rows());
     assert_eq!(test_bed.attempts("TWICE 1"), 2);
@@ -156,7 +156,7 @@
     // A class that must not run twice is retried only where the first attempt surely never ran.
     let test_bed = TestBed::default();
     let engines = [unused_address().await, resp::start_engine("b", test_bed.clone()).await];
-    let gateway = gateway(config(&engines), Operator::default()).await;
+    let gateway = gateway(config(&engines), OperatorConfig::default()).await;
     let mut client = Client::connect(gateway.mysql).await;
     for n in 0..4 {
         assert_eq!(
@@ -173,7 +173,7 @@
     let list = endpoint_list(1, vec![listed("s-0", a), listed("s-1", b)]);
     let (server, answers) = discovery_server::start_server(list.clone()).await;
     let config = Config { names: Some(server), ..config(&[a, b]) };
-    let gateway = gateway(config, Operator::default()).await;
+    let gateway = gateway(config, OperatorConfig::default()).await;
     let mut client = Client::connect(gateway.mysql).await;
     for n in 0..4 {
         client.outcome(&fields("lookup", 3000, None, &format!("SELECT {n}"))).await;
@@ -216,7 +216,7 @@
     let silent = TcpListener::bind(ANY_PORT).await.unwrap();
     let test_bed = TestBed::default();
     let engines = [silent.local_addr().unwrap(), resp::start_engine("b", test_bed.clone()).await];
-    let gateway = gateway(config(&engines), Operator::default()).await;
+    let gateway = gateway(config(&engines), OperatorConfig::default()).await;
     let mut stuck = Client::connect(gateway.mysql).await;
     let mut client = Client::connect(gateway.mysql).await;
     // One of the two requests is sent to each engine; the client that is served continues without delay.
@@ -241,7 +241,7 @@
 async fn with_socket_limit(sockets: usize) -> Running {
     let mut config = config(&[resp::start_engine("a", TestBed::default()).await]);
     config.limits.sockets = sockets;
-    gateway(config, Operator::default()).await
+    gateway(config, OperatorConfig::default()).await
 }
 
 /// The first packet of a new connection, once it begins with this byte.
--- a/gateway/tests/operation/console.rs
+++ b/gateway/tests/operation/console.rs
@@ -5,7 +5,7 @@
 use crate::support::{TestBed, gateway, resp_engines};
 use crate::with_console;
 use reedwalk_gateway::console::MAX_CONNECTIONS;
-use reedwalk_gateway::operator::Operator;
+use reedwalk_gateway::operator::OperatorConfig;
 use std::process::Command;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -14,7 +14,7 @@
 #[tokio::test]
 async fn each_console_line_gets_one_answer() {
     let test_bed = TestBed::default();
-    let running = gateway(with_console(&resp_engines(&test_bed).await), Operator::default()).await;
+    let running = gateway(with_console(&resp_engines(&test_bed).await), OperatorConfig::default()).await;
     let console = running.console.unwrap();
     assert_eq!(call(console, "HEALTH").await, "SUCCESS\n");
     assert_eq!(send(console, b"HEALTH\n").await.unwrap(), "SUCCESS\n");
@@ -49,7 +49,7 @@
 #[tokio::test]
 async fn incomplete_console_lines_block_nobody() {
     let test_bed = TestBed::default();
-    let running = gateway(with_console(&resp_engines(&test_bed).await), Operator::default()).await;
+    let running = gateway(with_console(&resp_engines(&test_bed).await), OperatorConfig::default()).await;
     let console = running.console.unwrap();
     let mut incomplete = Vec::new();
     for n in 0..300 {
@@ -78,7 +78,7 @@
     let test_bed = TestBed::default();
     let config = with_console(&resp_engines(&test_bed).await);
     let folder = config.folder.clone();
-    let running = gateway(config, Operator::default()).await;
+    let running = gateway(config, OperatorConfig::default()).await;
     let console = running.console.unwrap();
     // This creates the override file; then the test holds its lock, as another process would.
     assert!(succeeds(console, "OFFLINE s-0").await);
--- a/gateway/tests/operation/hot_restart.rs
+++ b/gateway/tests/operation/hot_restart.rs
@@ -8,7 +8,7 @@
 use crate::support::{Outcome, TestBed, config, discard_log, gateway, resp_engines, until};
 use reedwalk_gateway::config::Config;
 use reedwalk_gateway::limits::Limits;
-use reedwalk_gateway::operator::Operator;
+use reedwalk_gateway::operator::OperatorConfig;
 use std::path::Path;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
@@ -148,9 +148,9 @@
     let test_bed = TestBed::default();
     let config = config(&resp_engines(&test_bed).await);
     let (folder, limits) = (config.folder.clone(), Limits::default());
-    let running = gateway(Config { limits, ..config.clone() }, Operator::default()).await;
+    let running = gateway(Config { limits, ..config.clone() }, OperatorConfig::default()).await;
     assert_eq!(running.console, None);
     assert_eq!(std::fs::read_dir(folder).unwrap().count(), 0);
     let second = Config { listen: running.mysql, ..config };
-    assert!(reedwalk_gateway::serve::start(second, Operator::default(), &discard_log()).await.is_err());
+    assert!(reedwalk_gateway::serve::start(second, OperatorConfig::default(), &discard_log()).await.is_err());
 }
--- a/gateway/tests/operation/metrics.rs
+++ b/gateway/tests/operation/metrics.rs
@@ -4,7 +4,7 @@
 use crate::support::mysql::{Client, fields};
 use crate::support::{Outcome, TestBed, both_protocols, flight, flight_engines, gateway, resp_engines};
 use crate::{MetricValues, with_console};
-use reedwalk_gateway::operator::EngineWire;
+use reedwalk_gateway::operator::EngineProtocol;
 use reedwalk_gateway::serve::Running;
 use std::time::{Duration, Instant};
 
@@ -17,12 +17,12 @@
 }
 
 /// Sends the same mix of statements over both protocols and counts how they end.
-async fn request_mix(running: &Running, mysql: &mut Client, wire: EngineWire) -> Outcomes {
+async fn request_mix(running: &Running, mysql: &mut Client, protocol: EngineProtocol) -> Outcomes {
     let flight = flight::Client::connect(running.flight.unwrap()).await;
     let mut outcomes = Outcomes::default();
     for n in 0..12 {
         let text = ["SELECT", "ERROR", "BUSY", "SELECT"][n % 4];
-        let statement = format!("{text} {wire:?} {n}");
+        let statement = format!("{text} {protocol:?} {n}");
         let ends = [
             mysql.outcome(&fields("lookup", 2000, None, &statement)).await,
             flight::outcome(flight.with_class("lookup", None).query(&format!("{statement} too")).await),
@@ -43,24 +43,24 @@
 async fn metrics_match_what_clients_and_engines_counted() {
     let test_bed = TestBed::default();
     let engines = flight_engines(&test_bed).await;
-    for wire in [EngineWire::FlightSql, EngineWire::Resp] {
-        let engines = match wire {
-            EngineWire::FlightSql => engines,
-            EngineWire::Resp => resp_engines(&test_bed).await,
+    for protocol in [EngineProtocol::FlightSql, EngineProtocol::Resp] {
+        let engines = match protocol {
+            EngineProtocol::FlightSql => engines,
+            EngineProtocol::Resp => resp_engines(&test_bed).await,
         };
         let before = test_bed.attempts_at("a") + test_bed.attempts_at("b");
-        let running = gateway(with_console(&engines), both_protocols(wire)).await;
+        let running = gateway(with_console(&engines), both_protocols(protocol)).await;
         let console = running.console.unwrap();
         let start = metrics(console).await;
         assert_eq!(start["completed.lookup"] + start["failed.adjust"] + start["pending"], 0);
         assert_eq!((start["members"], start["members_unavailable"]), (2, 0));
         let mut client = Client::connect(running.mysql).await;
-        let Outcomes { served, failed, rejected } = request_mix(&running, &mut client, wire).await;
+        let Outcomes { served, failed, rejected } = request_mix(&running, &mut client, protocol).await;
         // A request without the idempotency key that its class needs never reaches the broker.
         assert_eq!(client.outcome(&fields("batch-post", 2000, None, "INSERT 1")).await, Outcome::BadInput);
         // A request of a disconnected client is in no count, and not pending.
         let mut disconnecting = Client::connect(running.mysql).await;
-        disconnecting.send_query(&fields("lookup", 2000, None, &format!("HANG {wire:?}"))).await;
+        disconnecting.send_query(&fields("lookup", 2000, None, &format!("HANG {protocol:?}"))).await;
         wait_for_metrics(console, "the pending request", |f| f["pending"] == 1).await;
         drop(disconnecting);
         let sends = || (test_bed.attempts_at("a") + test_bed.attempts_at("b") - before) as u64;
--- a/gateway/tests/operation/overrides.rs
+++ b/gateway/tests/operation/overrides.rs
@@ -9,7 +9,7 @@
 };
 use crate::{MetricValues, lookup, with_console};
 use reedwalk_gateway::config::Config;
-use reedwalk_gateway::operator::Operator;
+use reedwalk_gateway::operator::OperatorConfig;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -79,7 +79,7 @@
     settings["RequestClasses"][0]["SloUs"] = json!(6_000_000);
     let engines = resp_engines(&test_bed).await;
     let config = Config { console: with_console(&engines).console, ..config_with(&engines, &settings) };
-    let running = gateway(config, Operator { cores: 4, ..Operator::default() }).await;
+    let running = gateway(config, OperatorConfig { cores: 4, ..OperatorConfig::default() }).await;
     let console = running.console.unwrap();
     let load = RepeatedLookups::start(running.mysql, 24);
     until("both engines are used", || test_bed.attempts_at("a") > 20 && test_bed.attempts_at("b") > 20).await;
@@ -113,7 +113,8 @@
         |id, address, started_ms| discovery_server::ListedEngine { started_ms, ..listed(id, address) };
     let list = endpoint_list(2, vec![listed("s-0", a), listed("s-1", b)]);
     let (server, answers) = discovery_server::start_server(list.clone()).await;
-    let running = gateway(Config { names: Some(server), ..with_console(&[a, b]) }, Operator::default()).await;
+    let running =
+        gateway(Config { names: Some(server), ..with_console(&[a, b]) }, OperatorConfig::default()).await;
     let console = running.console.unwrap();
     let mut client = Client::connect(running.mysql).await;
     assert!(succeeds(console, "OFFLINE s-0").await);
--- a/gateway/tests/quotas.rs
+++ b/gateway/tests/quotas.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use reedwalk_gateway::message::{QuotaDecision, Rejection};
-use reedwalk_gateway::operator::{EngineWire, Operator, Store};
+use reedwalk_gateway::operator::{BudgetStore, EngineProtocol, OperatorConfig};
 use reedwalk_gateway::quotas::{Contract, QuotaManager};
 use reedwalk_gateway::shared_store::SharedStoreOptions;
 use reedwalk_gateway::shared_store::client::SharedStoreClient;
@@ -180,19 +180,23 @@
 async fn exhausted_quota_is_rejected_alike_over_both_protocols() {
     early_in_the_window().await;
     let (mysql_engines, flight_engines) = (TestBed::default(), TestBed::default());
-    let operator = |engines| Operator {
+    let operator = |engine_protocol| OperatorConfig {
         contracts: Some(vec![contract(2, HOUR_MS)]),
-        store: Store::Memory,
-        ..both_protocols(engines)
+        store: BudgetStore::Memory,
+        ..both_protocols(engine_protocol)
     };
     let requests =
         [("lookup", "SELECT 1"), ("lookup", "SELECT 2"), ("lookup", "SELECT 3"), ("adjust", "SELECT 4")];
-    let mysql_gateway =
-        gateway(config(&[resp::start_engine("a", mysql_engines.clone()).await]), operator(EngineWire::Resp))
-            .await;
-    let flight_gateway =
-        gateway(config(&[start_engine("a", flight_engines.clone()).await]), operator(EngineWire::FlightSql))
-            .await;
+    let mysql_gateway = gateway(
+        config(&[resp::start_engine("a", mysql_engines.clone()).await]),
+        operator(EngineProtocol::Resp),
+    )
+    .await;
+    let flight_gateway = gateway(
+        config(&[start_engine("a", flight_engines.clone()).await]),
+        operator(EngineProtocol::FlightSql),
+    )
+    .await;
     let mut mysql = Client::connect_as(mysql_gateway.mysql, "desk").await;
     let flight = Flight::connect(flight_gateway.flight.unwrap()).await;
     for (n, (class, statement)) in requests.into_iter().enumerate() {
@@ -212,7 +216,8 @@
 async fn rejected_request_that_never_ran_is_refunded() {
     early_in_the_window().await;
     let test_bed = TestBed::default();
-    let operator = Operator { contracts: Some(vec![contract(2, HOUR_MS)]), ..Operator::default() };
+    let operator =
+        OperatorConfig { contracts: Some(vec![contract(2, HOUR_MS)]), ..OperatorConfig::default() };
     let running = gateway(config(&[resp::start_engine("a", test_bed.clone()).await]), operator).await;
     let mut client = Client::connect_as(running.mysql, "desk").await;
     for n in 0..4 {
@@ -231,7 +236,8 @@
 async fn rejected_request_that_may_have_run_is_charged() {
     early_in_the_window().await;
     let test_bed = TestBed::default();
-    let operator = Operator { contracts: Some(vec![contract(2, HOUR_MS)]), ..Operator::default() };
+    let operator =
+        OperatorConfig { contracts: Some(vec![contract(2, HOUR_MS)]), ..OperatorConfig::default() };
     let running = gateway(config(&[resp::start_engine("a", test_bed.clone()).await]), operator).await;
     let mut client = Client::connect_as(running.mysql, "desk").await;
     for n in 0..2 {
--- a/gateway/tests/shared_store/faults.rs
+++ b/gateway/tests/shared_store/faults.rs
@@ -4,7 +4,7 @@
 use crate::support::redis::{Entry, Fault, Value};
 use crate::support::{Outcome, config, discard_log, until, unused_address};
 use crate::{Fixture, KEY_PREFIX, first, options, outcome, retry};
-use reedwalk_gateway::operator::{Operator, Store};
+use reedwalk_gateway::operator::{BudgetStore, OperatorConfig};
 use reedwalk_gateway::shared_store::SharedStoreOptions;
 use std::time::{Duration, Instant};
 
@@ -114,7 +114,9 @@
 
 #[tokio::test]
 async fn invalid_store_url_is_an_error_at_the_start() {
-    let operator =
-        Operator { store: Store::Redis("http://nowhere".into(), options()), ..Operator::default() };
+    let operator = OperatorConfig {
+        store: BudgetStore::Redis("http://nowhere".into(), options()),
+        ..OperatorConfig::default()
+    };
     assert!(reedwalk_gateway::serve::start(config(&[]), operator, &discard_log()).await.is_err());
 }
--- a/gateway/tests/shared_store/main.rs
+++ b/gateway/tests/shared_store/main.rs
@@ -10,7 +10,7 @@
 mod zones;
 
 use reedwalk_gateway::config::Config;
-use reedwalk_gateway::operator::{Operator, Store};
+use reedwalk_gateway::operator::{BudgetStore, OperatorConfig};
 use reedwalk_gateway::serve::Running;
 use reedwalk_gateway::shared_store::SharedStoreOptions;
 use serde_json::{Value as Json, json};
@@ -75,8 +75,8 @@
             known["results"][0]["fleet"]["servers"][engine]["state"] = json!("draining");
         }
         let config = Config { known: Some(known), ..config_with(&self.engines, &settings) };
-        let store = Store::Redis(format!("redis://{store}"), options);
-        gateway(config, Operator { store, ..Operator::default() }).await
+        let store = BudgetStore::Redis(format!("redis://{store}"), options);
+        gateway(config, OperatorConfig { store, ..OperatorConfig::default() }).await
     }
 
     /// The same gateway as a process, which can be killed. `credentials` is empty or ends with `@`.
--- a/gateway/tests/shared_store/stored_answers.rs
+++ b/gateway/tests/shared_store/stored_answers.rs
@@ -4,7 +4,7 @@
 use crate::support::redis::Redis;
 use crate::support::{Outcome, TestBed, both_protocols, config, flight, flight_engines, gateway};
 use crate::{Fixture, first, options, outcome, retry};
-use reedwalk_gateway::operator::{EngineWire, Operator, Store};
+use reedwalk_gateway::operator::{BudgetStore, EngineProtocol, OperatorConfig};
 use std::time::{Duration, Instant};
 
 #[tokio::test]
@@ -46,9 +46,9 @@
     let store = redis.start().await;
     let engines = flight_engines(&test_bed).await;
     let fixture = Fixture { test_bed, redis, engines, store };
-    let operator = || Operator {
-        store: Store::Redis(format!("redis://{store}"), options()),
-        ..both_protocols(EngineWire::FlightSql)
+    let operator = || OperatorConfig {
+        store: BudgetStore::Redis(format!("redis://{store}"), options()),
+        ..both_protocols(EngineProtocol::FlightSql)
     };
     let gateways = [gateway(config(&engines), operator()).await, gateway(config(&engines), operator()).await];
     fixture.store_is_used_by(2).await;
--- a/gateway/tests/shutdown.rs
+++ b/gateway/tests/shutdown.rs
@@ -39,7 +39,7 @@
     until("the attempt is in flight", || test_bed.attempts("HANG 1") == 1).await;
     // SIGTERM was three seconds ago: 600 ms are left.
     let terminated = Instant::now() - ms(3_000);
-    gateway.overlap(terminated).await;
+    gateway.begin_shutdown(terminated).await;
     late.send_query(&fields("statement", 9000, None, "HANG 2")).await;
     until("the second attempt is in flight", || test_bed.attempts("HANG 2") == 1).await;
     let closed = tokio::spawn(gateway.close(terminated));
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -13,7 +13,7 @@
 use proptest::test_runner::{Config as ProptestConfig, RngAlgorithm, RngSeed};
 use reedwalk_gateway::config::Config;
 use reedwalk_gateway::limits::Limits;
-use reedwalk_gateway::operator::{EngineWire, FlightFront, Operator};
+use reedwalk_gateway::operator::{EngineProtocol, FlightFront, OperatorConfig};
 use reedwalk_gateway::serve::{Running, start};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -76,20 +76,20 @@
 }
 
 /// An operator file that serves MySQL and Flight SQL, with engines on this protocol.
-pub fn both_protocols(engines: EngineWire) -> Operator {
+pub fn both_protocols(engine_protocol: EngineProtocol) -> OperatorConfig {
     let flight =
         FlightFront { listen: ANY_PORT.parse().unwrap(), max_connections: 16, max_message_bytes: 256 * 1024 };
-    Operator { flight: Some(flight), engines, ..Operator::default() }
+    OperatorConfig { flight: Some(flight), engine_protocol, ..OperatorConfig::default() }
 }
 
 /// A running gateway.
-pub async fn gateway(config: Config, operator: Operator) -> Running {
+pub async fn gateway(config: Config, operator: OperatorConfig) -> Running {
     start(config, operator, &discard_log()).await.unwrap()
 }
 
 /// A running gateway with the engines `a` and `b` on RESP.
 pub async fn with_engines(test_bed: &TestBed) -> Running {
-    gateway(config(&resp_engines(test_bed).await), Operator::default()).await
+    gateway(config(&resp_engines(test_bed).await), OperatorConfig::default()).await
 }
 
 /// The addresses of the engines `a` and `b` on RESP.
