--- a/gateway/src/front/mysql/close.rs
+++ b/gateway/src/front/mysql/close.rs
@@ -1,40 +1,41 @@
-//! The end of a client's connection. A close over bytes that were not read is a reset, and a reset can overtake the
-//! answer before it; so our side is shut first, and what still comes is read, and never acted on, until the client
-//! closes as well.
+//! Lingering close of a client connection. Closing a socket with unread bytes resets the connection, and the client may
+//! then lose the last response. The gateway therefore shuts down its write side first, then reads and discards input
+//! until the client closes its side.
 
 use bytes::BytesMut;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-/// Bytes that are read this way at most; a client that sends more gets a reset.
-const MAX_READ_BYTES: usize = 1 << 20;
-/// The same where the client is not waited for.
-const MAX_READY_BYTES: usize = 16 * 1024;
-/// Bytes that are read at a time.
-const CHUNK: usize = 4 * 1024;
+/// Limit on the bytes that [`close`] discards. The connection of a client that sends more is reset.
+const MAX_LINGER_BYTES: usize = 1 << 20;
+/// Limit on the bytes that [`discard_received`] discards.
+const MAX_DISCARD_BYTES: usize = 16 * 1024;
+/// Size of the read buffer.
+const BUFFER_BYTES: usize = 4 * 1024;
 
-/// Reads what has come and no more, within a bound.
-pub fn read_ready(stream: &TcpStream) {
-    let mut sent = [0; CHUNK];
-    for _ in 0..MAX_READY_BYTES / CHUNK {
-        if !matches!(stream.try_read(&mut sent), Ok(n) if n > 0) {
+/// Discards the bytes that have already been received, up to a limit, without waiting for more.
+pub fn discard_received(stream: &TcpStream) {
+    let mut buffer = [0; BUFFER_BYTES];
+    for _ in 0..MAX_DISCARD_BYTES / BUFFER_BYTES {
+        if !matches!(stream.try_read(&mut buffer), Ok(n) if n > 0) {
             return;
         }
     }
 }
 
-/// Shuts our side, then reads to the client's end, by `by` and within a bound. The caller drops the connection.
-pub async fn close(stream: &mut TcpStream, by: Instant) {
-    if !matches!(timeout_at(by, stream.shutdown()).await, Ok(Ok(()))) {
+/// Shuts down the write side, then discards input until the client closes its side, `deadline` passes or the limit is
+/// reached. The caller then drops the stream.
+pub async fn close(stream: &mut TcpStream, deadline: Instant) {
+    if !matches!(timeout_at(deadline, stream.shutdown()).await, Ok(Ok(()))) {
         return;
     }
-    let (mut buffer, mut read) = (BytesMut::new(), 0);
-    while read < MAX_READ_BYTES {
+    let (mut buffer, mut discarded) = (BytesMut::new(), 0);
+    while discarded < MAX_LINGER_BYTES {
         buffer.clear();
-        buffer.reserve(CHUNK);
-        match timeout_at(by, stream.read_buf(&mut buffer)).await {
-            Ok(Ok(n)) if n > 0 => read += n,
+        buffer.reserve(BUFFER_BYTES);
+        match timeout_at(deadline, stream.read_buf(&mut buffer)).await {
+            Ok(Ok(n)) if n > 0 => discarded += n,
             _ => return,
         }
     }
--- a/gateway/src/front/mysql/mod.rs
+++ b/gateway/src/front/mysql/mod.rs
@@ -1,4 +1,4 @@
-//! The front on the MySQL client protocol.
+//! The front for the MySQL client/server protocol.
 
 mod close;
 mod connection_ids;
@@ -29,18 +29,19 @@
 use tokio::sync::{Semaphore, mpsc, watch};
 use tokio::time::Instant;
 
-/// Share of the descriptors that client sessions may hold; clients keep to a third, engines take a share.
+/// Share of the file descriptors for client sessions. Well-behaved clients use a third, and engine connections need a
+/// share as well.
 const SESSIONS_SHARE: f64 = 0.6;
-/// Share of the memory for statements that are not small, as they are read and while they run.
+/// Share of the memory for large statements, from reading them until their response.
 const STATEMENTS_SHARE: f64 = 0.1;
-/// Share of the descriptors for clients that were refused and still read why.
+/// Share of the file descriptors for refused clients that still read the error.
 const REFUSED_SHARE: f64 = 0.01;
-/// How long one of them may take.
+/// How long the connection of a refused client stays open.
 const REFUSED_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// How often refused and evicted sessions are logged at most.
+/// Shortest interval between two log records of refused and evicted sessions.
 const SLOT_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What all sessions share.
+/// The state that all sessions share.
 pub struct Front {
     request_queue: RequestQueue,
     deployment: Arc<Deployment>,
@@ -48,14 +49,14 @@
     slots: Arc<SessionSlots>,
     max_sessions: usize,
     running: RunningQueries,
-    /// Permits for clients that were refused and still read why.
-    refused: Arc<Semaphore>,
+    /// Permits for refused clients that still read the error.
+    refused_permits: Arc<Semaphore>,
     seed: u64,
     cores: Multicore,
     log: Logger,
 }
 
-/// Logs the counts of refused and evicted sessions when they have changed.
+/// Rate-limited logging of the counts of refused and evicted sessions.
 struct SlotLog {
     logged_at: Instant,
     logged: SlotCounts,
@@ -77,7 +78,7 @@
 }
 
 impl Front {
-    /// A front that submits its requests to `request_queue` and keeps to these limits.
+    /// Creates a front that submits its requests to `request_queue` and stays within `limits`.
     pub fn new(
         request_queue: RequestQueue,
         deployment: Arc<Deployment>,
@@ -97,15 +98,15 @@
             slots: Arc::new(SessionSlots::new(max_sessions, max_statement_bytes)),
             max_sessions,
             running: RunningQueries::default(),
-            refused: Arc::new(Semaphore::new(max_refused)),
+            refused_permits: Arc::new(Semaphore::new(max_refused)),
             seed,
             cores,
             log,
         }
     }
 
-    /// Accepts sessions until the phase says to close, as many as this process's share of the capacity allows. Each
-    /// session holds `open_connections` until it has ended.
+    /// Accepts sessions until the shutdown reaches its closing phase, as many as this process's share of the capacity
+    /// allows. Each session holds a clone of `open_connections` until it has ended.
     pub async fn serve(
         self: Arc<Self>,
         listener: TcpListener,
@@ -134,7 +135,7 @@
             };
             self.open_session(stream, ids.next_id(), &phase, &open_connections);
             slot_log.update(self.slots.counts(), &self.log);
-            // A session that was evicted ends before the next client is accepted.
+            // Lets an evicted session end before the next client is accepted.
             tokio::task::yield_now().await;
         }
         for stream in accepted_already(listener) {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Opens a session with this id for a new client, or refuses it.
+    /// Opens a session for a new client, or refuses the client if there is no slot.
     fn open_session(
         self: &Arc<Self>,
         stream: TcpStream,
@@ -165,20 +166,20 @@
         }
     }
 
-    /// Refuses a new client. As many at once as there are permits get the time to read why; of the others what has
-    /// arrived is read, and no more.
+    /// Refuses a new client. With a permit, its connection stays open until it has read the error; without one, only the
+    /// bytes already received are read before the connection is closed.
     fn refuse(&self, mut stream: TcpStream, now: Instant, open_connection: mpsc::Sender<()>) {
         let mut output = bytes::BytesMut::new();
         Writer::new(&mut output, 0).error(1040, b"08004", "too many connections, pause=1000");
-        // This fits any fresh socket's buffer; whether it arrives depends on the client.
+        // The error always fits into the send buffer of a new socket. Its delivery is not guaranteed.
         let _ = stream.try_write(&output);
-        if let Ok(permit) = self.refused.clone().try_acquire_owned() {
+        if let Ok(permit) = self.refused_permits.clone().try_acquire_owned() {
             tokio::spawn(async move {
                 close::close(&mut stream, now + REFUSED_CLOSE_TIMEOUT).await;
                 drop((permit, open_connection));
             });
         } else {
-            close::read_ready(&stream);
+            close::discard_received(&stream);
         }
     }
 }
--- a/gateway/src/front/mysql/packet.rs
+++ b/gateway/src/front/mysql/packet.rs
@@ -1,21 +1,22 @@
-//! The MySQL client protocol 4.1, as far as it is spoken here: pure functions over bytes.
+//! Encoding and decoding of the supported part of the MySQL client/server protocol 4.1, without I/O.
 
 use crate::message::Rows;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::fmt;
 
-/// Bytes of the largest packet that is accepted from a client.
+/// Largest packet payload that is accepted from a client.
 const MAX_PACKET_BYTES: usize = 256 * 1024;
 const SERVER_VERSION: &[u8] = b"8.0.36-reedwalk\0";
-const PLUGIN: &[u8] = b"mysql_native_password\0";
+const AUTH_PLUGIN: &[u8] = b"mysql_native_password\0";
 const CLIENT_CONNECT_WITH_DB: u32 = 0x8;
 const CLIENT_PROTOCOL_41: u32 = 0x200;
 const CLIENT_SSL: u32 = 0x800;
 const CLIENT_SECURE_CONNECTION: u32 = 0x8000;
 const CLIENT_PLUGIN_AUTH: u32 = 0x8_0000;
 const CLIENT_LENENC_AUTH: u32 = 0x20_0000;
-/// Long password, found rows, long flag, transactions, and those named above that are offered.
-const OFFERED: u32 = 0x1
+/// Capabilities in the greeting: long password, found rows, long flag, transactions, and the supported ones of those
+/// named above.
+const SERVER_CAPABILITIES: u32 = 0x1
     | 0x2
     | 0x4
     | 0x2000
@@ -23,46 +24,46 @@
     | CLIENT_PROTOCOL_41
     | CLIENT_SECURE_CONNECTION
     | CLIENT_PLUGIN_AUTH;
-const CHARSET: u8 = 45;
-const AUTOCOMMIT: u16 = 2;
-const VAR_STRING: u8 = 0xfd;
+/// `utf8mb4_general_ci`.
+const CHARSET_UTF8MB4: u8 = 45;
+/// Server status flag: autocommit is on.
+const STATUS_AUTOCOMMIT: u16 = 2;
+const COLUMN_TYPE_VAR_STRING: u8 = 0xfd;
 
-/// Bytes that are not a packet of this protocol; the connection has to be closed.
+/// A violation of the protocol by the client. Its connection can't be used any more and has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadFraming(pub &'static str);
+pub struct ProtocolError(pub &'static str);
 
-impl fmt::Display for BadFraming {
+impl fmt::Display for ProtocolError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "bad framing: {}", self.0)
+        write!(f, "protocol error: {}", self.0)
     }
 }
 
-impl std::error::Error for BadFraming {}
+impl std::error::Error for ProtocolError {}
 
-/// Size of the packet that `buffer` begins with, which must bear the number `sequence`; 0 while its head has not
-/// come.
+/// Returns the payload size of the packet at the start of `buffer`, or 0 while its header is incomplete.
 ///
 /// # Errors
-/// Where it is too large or out of turn.
-pub fn size(buffer: &[u8], sequence: u8) -> Result<usize, BadFraming> {
+/// If the packet is too large or its sequence number is not `sequence`.
+pub fn payload_size(buffer: &[u8], sequence: u8) -> Result<usize, ProtocolError> {
     let &[a, b, c, number, ..] = buffer else { return Ok(0) };
     let size = usize::from(a) | usize::from(b) << 8 | usize::from(c) << 16;
     if number != sequence {
-        return Err(BadFraming("packet out of turn"));
+        return Err(ProtocolError("packet out of order"));
     }
     if size > MAX_PACKET_BYTES {
-        return Err(BadFraming("packet too large"));
+        return Err(ProtocolError("packet too large"));
     }
     Ok(size)
 }
 
-/// Removes the next complete packet from the front of `buffer`, which must have the number `sequence`; `None` if part
-/// of it is still missing.
+/// Removes the packet at the start of `buffer` and returns its payload, or `None` if the packet is incomplete.
 ///
 /// # Errors
-/// Where it is too large or out of turn.
-pub fn take_packet(buffer: &mut BytesMut, sequence: u8) -> Result<Option<Bytes>, BadFraming> {
-    let size = size(buffer, sequence)?;
+/// If the packet is too large or its sequence number is not `sequence`.
+pub fn take_packet(buffer: &mut BytesMut, sequence: u8) -> Result<Option<Bytes>, ProtocolError> {
+    let size = payload_size(buffer, sequence)?;
     if buffer.len() < 4 + size {
         return Ok(None);
     }
@@ -70,14 +71,14 @@
     Ok(Some(buffer.split_to(size).freeze()))
 }
 
-/// Writes packets, numbered upwards.
+/// Encodes packets with consecutive sequence numbers.
 pub struct Writer<'a> {
     out: &'a mut BytesMut,
     sequence: u8,
 }
 
 impl<'a> Writer<'a> {
-    /// Writes to `out`, the next packet bearing `sequence`.
+    /// Creates a writer that appends to `out` and numbers its first packet `sequence`.
     pub fn new(out: &'a mut BytesMut, sequence: u8) -> Self {
         Self { out, sequence }
     }
@@ -92,45 +93,45 @@
         self.sequence = self.sequence.wrapping_add(1);
     }
 
-    /// The greeting, with the connection's id.
-    pub fn greeting(&mut self, connection: u32, scramble: [u8; 20]) {
+    /// Writes the initial handshake packet, which announces the connection id.
+    pub fn greeting(&mut self, connection_id: u32, scramble: [u8; 20]) {
         self.packet(|out| {
             out.put_u8(10);
             out.put_slice(SERVER_VERSION);
-            out.put_u32_le(connection);
+            out.put_u32_le(connection_id);
             out.put_slice(&scramble[..8]);
             out.put_u8(0);
-            out.put_u16_le(OFFERED as u16);
-            out.put_u8(CHARSET);
-            out.put_u16_le(AUTOCOMMIT);
-            out.put_u16_le((OFFERED >> 16) as u16);
+            out.put_u16_le(SERVER_CAPABILITIES as u16);
+            out.put_u8(CHARSET_UTF8MB4);
+            out.put_u16_le(STATUS_AUTOCOMMIT);
+            out.put_u16_le((SERVER_CAPABILITIES >> 16) as u16);
             out.put_u8(21);
             out.put_bytes(0, 10);
             out.put_slice(&scramble[8..]);
             out.put_u8(0);
-            out.put_slice(PLUGIN);
+            out.put_slice(AUTH_PLUGIN);
         });
     }
 
-    /// OK, with the number of rows changed.
-    pub fn ok(&mut self, changed: u64) {
+    /// Writes an OK packet.
+    pub fn ok(&mut self, affected_rows: u64) {
         self.packet(|out| {
             out.put_u8(0);
-            put_length(out, changed);
+            put_lenenc_int(out, affected_rows);
             out.put_u8(0);
-            out.put_u16_le(AUTOCOMMIT);
+            out.put_u16_le(STATUS_AUTOCOMMIT);
             out.put_u16_le(0);
         });
     }
 
-    /// An error.
-    pub fn error(&mut self, code: u16, state: &[u8; 5], text: &str) {
+    /// Writes an ERR packet.
+    pub fn error(&mut self, code: u16, sql_state: &[u8; 5], message: &str) {
         self.packet(|out| {
             out.put_u8(0xff);
             out.put_u16_le(code);
             out.put_u8(b'#');
-            out.put_slice(state);
-            out.put_slice(text.as_bytes());
+            out.put_slice(sql_state);
+            out.put_slice(message.as_bytes());
         });
     }
 
@@ -138,24 +139,24 @@
         self.packet(|out| {
             out.put_u8(0xfe);
             out.put_u16_le(0);
-            out.put_u16_le(AUTOCOMMIT);
+            out.put_u16_le(STATUS_AUTOCOMMIT);
         });
     }
 
-    /// A whole result set of text columns, its end included.
+    /// Writes a complete text result set.
     pub fn rows(&mut self, rows: &Rows) {
         let columns = rows.columns.max(1);
-        self.packet(|out| put_length(out, columns as u64));
+        self.packet(|out| put_lenenc_int(out, columns as u64));
         for column in 0..columns {
             self.packet(|out| {
                 let name = rows.name(column);
                 for text in ["def", "", "", "", &name, ""] {
-                    put_text(out, text.as_bytes());
+                    put_lenenc_string(out, text.as_bytes());
                 }
                 out.put_u8(12);
-                out.put_u16_le(u16::from(CHARSET));
+                out.put_u16_le(u16::from(CHARSET_UTF8MB4));
                 out.put_u32_le(65_535);
-                out.put_u8(VAR_STRING);
+                out.put_u8(COLUMN_TYPE_VAR_STRING);
                 out.put_u16_le(0);
                 out.put_u8(0);
                 out.put_u16_le(0);
@@ -166,7 +167,7 @@
             self.packet(|out| {
                 for cell in row {
                     match cell {
-                        Some(text) => put_text(out, text),
+                        Some(text) => put_lenenc_string(out, text),
                         None => out.put_u8(0xfb),
                     }
                 }
@@ -176,7 +177,7 @@
     }
 }
 
-fn put_length(out: &mut BytesMut, n: u64) {
+fn put_lenenc_int(out: &mut BytesMut, n: u64) {
     match n {
         0..=250 => out.put_u8(n as u8),
         251..=0xffff => {
@@ -194,85 +195,86 @@
     }
 }
 
-fn put_text(out: &mut BytesMut, text: &[u8]) {
-    put_length(out, text.len() as u64);
+fn put_lenenc_string(out: &mut BytesMut, text: &[u8]) {
+    put_lenenc_int(out, text.len() as u64);
     out.put_slice(text);
 }
 
-/// Who logs in.
+/// The credentials and options in a client's login packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Login {
-    /// The user's name.
+    /// User name: a team's name, or the default user.
     pub user: Bytes,
-    /// No password was given.
+    /// Whether the password is empty.
     pub empty_password: bool,
-    /// The database asked for, if any.
+    /// Default database, if the client named one.
     pub database: Option<Bytes>,
 }
 
-fn until_nul(bytes: &mut Bytes) -> Option<Bytes> {
+fn take_nul_terminated(bytes: &mut Bytes) -> Option<Bytes> {
     let end = bytes.iter().position(|b| *b == 0)?;
     let text = bytes.split_to(end);
     bytes.advance(1);
     Some(text)
 }
 
-/// Reads a login packet.
+/// Decodes a login packet, which is a handshake response of protocol 4.1.
 ///
 /// # Errors
-/// Where it is none of protocol 4.1, or asks for encryption.
-pub fn read_login(mut packet: Bytes) -> Result<Login, BadFraming> {
-    const CUT: BadFraming = BadFraming("login cut short");
+/// If the packet is truncated, belongs to an older protocol or requests TLS.
+pub fn read_login(mut packet: Bytes) -> Result<Login, ProtocolError> {
+    const TRUNCATED: ProtocolError = ProtocolError("login packet is truncated");
     if packet.len() < 32 {
-        return Err(CUT);
+        return Err(TRUNCATED);
     }
     let flags = packet.get_u32_le();
     packet.advance(28);
     if flags & CLIENT_PROTOCOL_41 == 0 {
-        return Err(BadFraming("not protocol 4.1"));
+        return Err(ProtocolError("protocol 4.1 is required"));
     }
     if flags & CLIENT_SSL != 0 {
-        return Err(BadFraming("encryption is not offered"));
+        return Err(ProtocolError("TLS is not supported"));
     }
-    let user = until_nul(&mut packet).ok_or(CUT)?;
+    let user = take_nul_terminated(&mut packet).ok_or(TRUNCATED)?;
     let password = if flags & (CLIENT_SECURE_CONNECTION | CLIENT_LENENC_AUTH) != 0 {
-        let size = usize::from(packet.first().copied().ok_or(CUT)?);
+        let size = usize::from(packet.first().copied().ok_or(TRUNCATED)?);
         if size > 250 || packet.len() < 1 + size {
-            return Err(CUT);
+            return Err(TRUNCATED);
         }
         packet.advance(1);
         packet.split_to(size)
     } else {
-        until_nul(&mut packet).ok_or(CUT)?
+        take_nul_terminated(&mut packet).ok_or(TRUNCATED)?
     };
-    // Some clients leave the last string without its NUL.
-    let rest = |packet: &mut Bytes| until_nul(packet).unwrap_or_else(|| std::mem::take(packet));
-    let database = (flags & CLIENT_CONNECT_WITH_DB != 0).then(|| rest(&mut packet));
+    // Some clients omit the NUL after the last string.
+    let last_string =
+        |packet: &mut Bytes| take_nul_terminated(packet).unwrap_or_else(|| std::mem::take(packet));
+    let database = (flags & CLIENT_CONNECT_WITH_DB != 0).then(|| last_string(&mut packet));
     Ok(Login { user, empty_password: password.is_empty(), database: database.filter(|d| !d.is_empty()) })
 }
 
-/// What a client asks for.
+/// A command from a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Run a statement.
+    /// `COM_QUERY`, with the statement.
     Query(Bytes),
-    /// Answer at once.
+    /// `COM_PING`.
     Ping,
-    /// Choose a database; there is one.
+    /// `COM_INIT_DB`. It has no effect, as there is only one database.
     UseDatabase,
-    /// The client closes.
+    /// `COM_QUIT`.
     Quit,
-    /// Nothing that is spoken here.
+    /// An unsupported command, with its number.
     Unknown(u8),
 }
 
-/// Reads a command packet.
+/// Decodes a command packet.
 ///
 /// # Errors
-/// Where it is empty.
-pub fn read_command(mut packet: Bytes) -> Result<Command, BadFraming> {
+/// If the packet is empty.
+pub fn read_command(mut packet: Bytes) -> Result<Command, ProtocolError> {
     if packet.is_empty() {
-        return Err(BadFraming("empty command"));
+        return Err(ProtocolError("empty command packet"));
     }
     Ok(match packet.get_u8() {
         0x01 => Command::Quit,
--- a/gateway/src/front/mysql/session.rs
+++ b/gateway/src/front/mysql/session.rs
@@ -1,9 +1,9 @@
-//! One client session: greeting, login, then commands one at a time.
+//! A client session: handshake, login, then one command at a time.
 
 use super::Front;
 use super::close::close;
-use super::fields::{self, BadFields};
-use super::packet::{self, BadFraming, Command, Writer};
+use super::fields::{self, FieldsError};
+use super::packet::{self, Command, ProtocolError, Writer};
 use super::response::write_response;
 use super::session_slots::{SessionSlot, SessionState, StatementMemory};
 use crate::broker::PendingResponse;
@@ -22,60 +22,60 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// A client must have logged in, and finished the first message that it has begun, this long after it connected: some
-/// clients write for 2 s, and one that never comes to an end must be closed within 3 s.
+/// Time from the start of the connection in which a client must log in and complete the first message that it starts.
+/// Slow clients take 2 s to write a message, and a client that never completes one must be disconnected within 3 s.
 const LOGIN_TIMEOUT: Duration = Duration::from_millis(2800);
-/// Bytes of a login at most.
+/// Largest login packet.
 const MAX_LOGIN_BYTES: usize = 4 * 1024;
-/// A later message must be whole this long after its first byte.
+/// Time from the first byte of any later message in which it must be complete.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2700);
-/// A client that does not read its answer is closed this long after its deadline.
-const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// The broker runs on another core, and may stall: this long after a query's deadline, which leaves it the time to answer,
-/// the session answers itself.
+/// A client that does not read a response is disconnected this long after the query's deadline.
+const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after a query's deadline in which the broker can still respond. The broker may run on another core and stall;
+/// after this time the session itself responds that the deadline has passed.
 const BROKER_STALL_GRACE: Duration = Duration::from_millis(15);
-/// Bytes that a client may send ahead while its query runs. Behind more, its disconnect would not be seen: the query of a
-/// client that sends more fails, and the client is closed.
+/// Bytes that a client may send while its query runs. Unread bytes would hide a disconnect, so a client that sends more
+/// has its query failed and its connection closed.
 const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
-/// A client that was closed may take this long to close as well, before unread bytes of it may reset the connection.
+/// How long the session waits for the client to close its side. After that, unread bytes may cause a connection reset.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// A buffer that has grown beyond this is released while its session is idle.
+/// An input buffer with more capacity than this is released while its session is idle.
 const MAX_IDLE_BUFFER_BYTES: usize = 1024;
-/// The user of clients that belong to no team.
+/// User name of clients without a team.
 const DEFAULT_USER: &str = "app";
 
-/// Why a session ended.
+/// The reason for the end of a session.
 enum SessionEnd {
-    /// The client closed, or its connection broke.
+    /// The client closed the connection, or the connection failed.
     ClosedByClient,
-    /// The client sent bytes that can't be read.
-    BadFraming(BadFraming),
-    /// The gateway closes it: no login in time, an answer that is not read, or a shutdown.
+    /// The client violated the protocol.
+    ProtocolError(ProtocolError),
+    /// The gateway closes the connection, after a timeout or during shutdown.
     ClosedByGateway,
-    /// Its slot is needed for another, at once.
+    /// The session has to release its slot immediately.
     Evicted,
 }
 
-impl From<BadFraming> for SessionEnd {
-    fn from(error: BadFraming) -> Self {
-        Self::BadFraming(error)
+impl From<ProtocolError> for SessionEnd {
+    fn from(error: ProtocolError) -> Self {
+        Self::ProtocolError(error)
     }
 }
 
-/// A whole command, and the memory reserved for it.
+/// A complete command packet and the memory reserved for it.
 struct ReceivedCommand {
     packet: Bytes,
     memory: Option<StatementMemory>,
 }
 
-/// A client's connection and its state.
+/// A client connection and its state.
 pub struct Session<'a> {
     front: &'a Front,
     stream: TcpStream,
     id: u32,
     slot: SessionSlot,
     connected_at: Instant,
-    /// It has sent a command that could be read.
+    /// Whether the client has sent a valid query, ping or database selection.
     has_sent_command: bool,
     team: Arc<str>,
     input: BytesMut,
@@ -83,7 +83,7 @@
 }
 
 impl<'a> Session<'a> {
-    /// A session that connected at `connected_at` and holds `slot`.
+    /// Creates the session for a client that connected at `connected_at`.
     pub fn new(
         front: &'a Front,
         stream: TcpStream,
@@ -104,18 +104,18 @@
         }
     }
 
-    /// Serves the client until it leaves, is closed, or the process shuts down.
+    /// Serves the client until either side closes the connection or the process shuts down.
     pub async fn run(mut self, mut phase: watch::Receiver<Phase>) {
         let end = self.serve(&mut phase).await;
-        if let Err(SessionEnd::BadFraming(error)) = &end {
+        if let Err(SessionEnd::ProtocolError(error)) = &end {
             Writer::new(&mut self.output, 1).error(1156, b"08S01", &error.to_string());
-            let _ = self.flush(Instant::now() + READ_TIMEOUT).await;
+            let _ = self.flush(Instant::now() + RESPONSE_WRITE_TIMEOUT).await;
         }
         let close_deadline = match end {
             Err(SessionEnd::ClosedByClient) => return,
-            // Another waits for the slot. This session has been silent for long: no answer is on its way.
+            // A new session needs the slot now. This one is not busy, so closing it at once loses no response.
             Err(SessionEnd::Evicted) => Instant::now(),
-            Ok(()) | Err(SessionEnd::BadFraming(_) | SessionEnd::ClosedByGateway) => {
+            Ok(()) | Err(SessionEnd::ProtocolError(_) | SessionEnd::ClosedByGateway) => {
                 Instant::now() + CLOSE_TIMEOUT
             }
         };
@@ -133,23 +133,23 @@
         loop {
             let ReceivedCommand { packet, memory } = self.next_command(phase).await?;
             match packet::read_command(packet)? {
-                Command::Query(text) => self.query(text).await?,
+                Command::Query(text) => self.handle_query(text).await?,
                 Command::Quit => return Ok(()),
                 Command::Ping | Command::UseDatabase => {
                     self.has_sent_command = true;
                     Writer::new(&mut self.output, 1).ok(0);
                 }
-                Command::Unknown(number) => {
-                    let text = format!("unknown command {number}");
-                    Writer::new(&mut self.output, 1).error(1047, b"08S01", &text);
+                Command::Unknown(command) => {
+                    let message = format!("unknown command {command}");
+                    Writer::new(&mut self.output, 1).error(1047, b"08S01", &message);
                 }
             }
-            self.flush(Instant::now() + READ_TIMEOUT).await?;
+            self.flush(Instant::now() + RESPONSE_WRITE_TIMEOUT).await?;
             drop(memory);
         }
     }
 
-    /// Greets the client and checks its login; returns whether it was accepted.
+    /// Performs the handshake and returns whether the login was accepted.
     async fn login(&mut self) -> Result<bool, SessionEnd> {
         let deadline = self.connected_at + LOGIN_TIMEOUT;
         let scramble = scramble(self.front.seed, self.id);
@@ -158,9 +158,9 @@
         let login = packet::read_login(self.read_login(deadline).await?)?;
         let user = std::str::from_utf8(&login.user).unwrap_or_default();
         let quotas = self.front.quotas.as_ref();
-        let is_known = user == DEFAULT_USER || quotas.is_some_and(|quotas| quotas.has_contract(user));
+        let is_known_user = user == DEFAULT_USER || quotas.is_some_and(|quotas| quotas.has_contract(user));
         self.team = Arc::from(user);
-        let is_accepted = login.empty_password && is_known;
+        let is_accepted = login.empty_password && is_known_user;
         let mut writer = Writer::new(&mut self.output, 2);
         if is_accepted {
             writer.ok(0);
@@ -174,24 +174,24 @@
     async fn read_login(&mut self, deadline: Instant) -> Result<Bytes, SessionEnd> {
         let evicted = self.slot.evicted.clone();
         loop {
-            if packet::size(&self.input, 1)? > MAX_LOGIN_BYTES {
-                return Err(BadFraming("login too large").into());
+            if packet::payload_size(&self.input, 1)? > MAX_LOGIN_BYTES {
+                return Err(ProtocolError("login packet too large").into());
             }
             if let Some(packet) = packet::take_packet(&mut self.input, 1)? {
                 return Ok(packet);
             }
             tokio::select! {
                 biased;
-                filled = timeout_at(deadline, self.fill()) => {
-                    filled.map_err(|_| SessionEnd::ClosedByGateway)??;
+                read = timeout_at(deadline, self.read_input()) => {
+                    read.map_err(|_| SessionEnd::ClosedByGateway)??;
                 }
                 () = evicted.notified() => return Err(SessionEnd::Evicted),
             }
         }
     }
 
-    /// Waits for the next command. A session that sends nothing, or does not finish a message, may be evicted meanwhile;
-    /// until its first command it counts as unproven.
+    /// Waits for the next command. The session may be evicted until the command is complete, and counts as unproven
+    /// before its first command and while a message is incomplete.
     async fn next_command(
         &mut self,
         phase: &mut watch::Receiver<Phase>,
@@ -205,15 +205,15 @@
         if self.input.is_empty() && self.input.capacity() > MAX_IDLE_BUFFER_BYTES {
             self.input = BytesMut::new();
         }
-        // A client that was accepted during the shutdown has its first request on the way.
+        // A client that connects during the shutdown gets time to send its first request.
         let open_until = if self.has_sent_command { connected_at } else { connected_at + LOGIN_TIMEOUT };
         let evicted = self.slot.evicted.clone();
         let (mut memory, mut message_deadline) = (None, None);
         loop {
-            let size = packet::size(&self.input, 0)?;
+            let size = packet::payload_size(&self.input, 0)?;
             if size > 0 && memory.is_none() {
-                let too_large = BadFraming("no room for so large a statement");
-                memory = Some(self.slot.reserve(size).ok_or(too_large)?);
+                let out_of_memory = ProtocolError("not enough memory for a statement of this size");
+                memory = Some(self.slot.reserve(size).ok_or(out_of_memory)?);
             }
             if let Some(packet) = packet::take_packet(&mut self.input, 0)? {
                 self.slot.set_state(SessionState::Busy);
@@ -227,7 +227,7 @@
             }
             tokio::select! {
                 biased;
-                filled = self.fill() => filled?,
+                read = self.read_input() => read?,
                 () = evicted.notified() => return Err(SessionEnd::Evicted),
                 () = closed_to(phase, open_until), if is_idle => {
                     if !self.has_unread_bytes() {
@@ -242,17 +242,17 @@
         }
     }
 
-    /// Whether the system holds bytes of the client that were not read. The runtime goes by what it was last told of a
-    /// socket; a request that has arrived since would be lost with a close.
+    /// Returns whether the socket has unread bytes. It asks the kernel, because the readiness cached by the runtime may
+    /// be out of date, and closing the connection would then lose a request that has just arrived.
     fn has_unread_bytes(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         matches!(SockRef::from(&self.stream).peek(&mut byte), Ok(length) if length > 0)
     }
 
-    async fn query(&mut self, text: Bytes) -> Result<(), SessionEnd> {
+    async fn handle_query(&mut self, text: Bytes) -> Result<(), SessionEnd> {
         let now = Instant::now();
-        if let Some(target) = sql::kill_query(&text) {
-            self.kill(target).await;
+        if let Some(connection_id) = sql::kill_query(&text) {
+            self.kill_running_query(connection_id).await;
             return Ok(());
         }
         let request = match self.read_request(&text, now) {
@@ -271,9 +271,9 @@
                 return Ok(());
             }
         };
-        let response = self.wait(&mut pending, deadline + BROKER_STALL_GRACE).await;
+        let response = self.wait_for_response(&mut pending, deadline + BROKER_STALL_GRACE).await;
         self.front.running.remove(self.id);
-        if let Err(SessionEnd::BadFraming(_)) = &response {
+        if let Err(SessionEnd::ProtocolError(_)) = &response {
             pending.fail(Failure::Engine);
         }
         match response? {
@@ -282,31 +282,32 @@
                 Writer::new(&mut self.output, 1).error(1317, b"70100", "query execution was interrupted");
             }
         }
-        self.flush(deadline.max(now) + READ_TIMEOUT).await
+        self.flush(deadline.max(now) + RESPONSE_WRITE_TIMEOUT).await
     }
 
-    /// Kills the query of another connection. Whether it still ran or not, its client learns of it there.
-    async fn kill(&mut self, target: u32) {
-        // The query that is meant was sent before this, and may lie unread: its session goes first.
+    /// Kills the query of another connection and reports success, also if no query is running there. The client of a
+    /// killed query receives the error on its own connection.
+    async fn kill_running_query(&mut self, connection_id: u32) {
+        // The query to kill may have been received but not read yet: lets its session run first.
         tokio::task::yield_now().await;
-        if let Some(kill) = self.front.running.remove(target) {
+        if let Some(kill) = self.front.running.remove(connection_id) {
             let _ = kill.send(());
         }
         Writer::new(&mut self.output, 1).ok(0);
     }
 
-    /// Waits for the response until `deadline`; `None` if the query was killed. A client that closes meanwhile has
-    /// disconnected.
-    async fn wait(
+    /// Waits for the response until `deadline`; returns `None` if the query was killed. Fails if the client disconnects
+    /// meanwhile.
+    async fn wait_for_response(
         &mut self,
         pending: &mut PendingResponse,
         deadline: Instant,
     ) -> Result<Option<Response>, SessionEnd> {
-        let broker_is_elsewhere = self.front.cores.is_multicore();
+        let broker_on_other_core = self.front.cores.is_multicore();
         let mut killed = self.front.running.insert(self.id);
         loop {
             if self.input.len() > MAX_READ_AHEAD_BYTES {
-                return Err(BadFraming("too much sent ahead of the answer").into());
+                return Err(ProtocolError("too many bytes sent before the response").into());
             }
             tokio::select! {
                 biased;
@@ -317,7 +318,7 @@
                     pending.fail(Failure::Engine);
                     return Ok(None);
                 },
-                () = sleep_until(deadline), if broker_is_elsewhere => {
+                () = sleep_until(deadline), if broker_on_other_core => {
                     return Ok(Some(pending.fail(Failure::Deadline)));
                 }
                 read = self.stream.read_buf(&mut self.input) => {
@@ -329,19 +330,19 @@
         }
     }
 
-    /// Reads a statement and its fields into a request, its deadline counted from `now`.
-    fn read_request(&self, text: &Bytes, now: Instant) -> Result<Request, BadFields> {
+    /// Builds the request from a statement and its fields. Its timeout starts at `now`.
+    fn read_request(&self, text: &Bytes, now: Instant) -> Result<Request, FieldsError> {
         let (fields, statement) = fields::take_fields(text)?;
         let deployment = &self.front.deployment;
         let Some(class_id) = deployment.sockets.class_id(&fields.class) else {
-            return Err(BadFields::NoSuchClass(fields.class));
+            return Err(FieldsError::UnknownClass(fields.class));
         };
         let class = &deployment.scheduler.classes[class_id.0];
         let needs_key = class.idempotency.deduplication().is_some();
         if needs_key && fields.idempotency_key.is_none() {
-            // Without its key a repeat would have a second effect.
+            // Without a key, a duplicate of the request would be executed again.
             self.front.request_queue.count_rejected(class_id, RequestOutcome::Failed);
-            return Err(BadFields::Absent("nonce"));
+            return Err(FieldsError::MissingField("nonce"));
         }
         let timeout = Duration::from_millis(fields.timeout_ms);
         Ok(Request {
@@ -359,14 +360,14 @@
         })
     }
 
-    async fn fill(&mut self) -> Result<(), SessionEnd> {
+    async fn read_input(&mut self) -> Result<(), SessionEnd> {
         match self.stream.read_buf(&mut self.input).await {
             Ok(length) if length > 0 => Ok(()),
             _ => Err(SessionEnd::ClosedByClient),
         }
     }
 
-    /// Writes what is to be sent, by `deadline`.
+    /// Sends the buffered output until `deadline`.
     async fn flush(&mut self, deadline: Instant) -> Result<(), SessionEnd> {
         if !self.output.is_empty() {
             let written = timeout_at(deadline, self.stream.write_all(&self.output)).await;
@@ -377,7 +378,7 @@
     }
 }
 
-/// The greeting's challenge: twenty bytes without NUL. Passwords are empty, so it protects nothing.
+/// Returns the authentication challenge: 20 printable bytes. It needs no secrecy, as all passwords are empty.
 fn scramble(seed: u64, id: u32) -> [u8; 20] {
     let mut state = seed ^ u64::from(id).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     std::array::from_fn(|_| {
