--- a/gateway/src/front/mysql/session_slots.rs
+++ b/gateway/src/front/mysql/session_slots.rs
@@ -1,27 +1,27 @@
-//! The limit on client sessions, and which session is evicted when it is reached. Descriptors are few, and some clients connect and
-//! send nothing, or send one request and never disconnect: when the slots run out, the session that has been
-//! silent longest is evicted.
+//! The limit on client sessions and the choice of the session that is evicted when it is reached. File descriptors are
+//! scarce, and some clients connect and send nothing, or send one request and never disconnect. When no slot is free, the
+//! session that has been inactive longest is evicted.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Share of the slots that sessions which have sent no whole request may hold.
+/// Share of the slots that unproven sessions may hold.
 const UNPROVEN_SHARE: f64 = 0.25;
-/// Evicted sessions may still be there while newcomers take their slots: this many beyond the limit at most.
-const MAX_OVERLAP: usize = 8;
-/// Statements up to this size take no part of the memory that all sessions share.
+/// How far the sessions may exceed the limit while evicted ones are still closing.
+const MAX_EXCESS_SESSIONS: usize = 8;
+/// Statements up to this size do not count towards the memory that all sessions share.
 const SMALL_STATEMENT_BYTES: usize = 8 * 1024;
 
-/// What a session is doing.
+/// The state of a session, which decides whether it may be evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SessionState {
-    /// It has not logged in, sent its first request or finished a message since then.
+    /// Since this time the client has not completed its login, its first request or a later message.
     Unproven(Instant),
-    /// It has sent nothing since then.
+    /// The client has sent nothing since this time.
     Idle(Instant),
-    /// A request of it is open.
+    /// A command is being executed. The session can't be evicted.
     Busy,
 }
 
@@ -34,21 +34,21 @@
 #[derive(Debug, Default)]
 struct SlotTable {
     sessions: HashMap<u32, Session>,
-    /// Sessions that could be evicted, by how long they have been silent; never one that was evicted already.
+    /// Sessions that can be evicted and have not been, ordered by the start of their inactivity.
     unproven: BTreeSet<(Instant, u32)>,
     idle: BTreeSet<(Instant, u32)>,
-    /// Bytes of statements that are not small.
+    /// Memory reserved for large statements.
     statement_bytes: usize,
     max_sessions: usize,
     counts: SlotCounts,
 }
 
-/// Counts of sessions that did not get or keep a slot.
+/// Counts of refused and evicted sessions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SlotCounts {
-    /// Refused: all slots were held by open requests.
+    /// Sessions refused because none could be evicted for them.
     pub refused: u64,
-    /// Evicted in favour of others.
+    /// Sessions evicted to free their slots.
     pub evicted: u64,
 }
 
@@ -59,7 +59,7 @@
     table: Mutex<SlotTable>,
 }
 
-/// One session's slot, until it is dropped.
+/// The slot of one session, which is released on drop.
 #[derive(Debug)]
 pub struct SessionSlot {
     slots: Arc<SessionSlots>,
@@ -68,7 +68,7 @@
     pub evicted: Arc<Notify>,
 }
 
-/// A reservation in the memory for large statements, until it is dropped.
+/// Memory reserved for a statement, which is released on drop.
 #[derive(Debug)]
 pub struct StatementMemory {
     slots: Arc<SessionSlots>,
@@ -90,8 +90,8 @@
         };
     }
 
-    /// Evicts the session that has been silent longest, an unproven one if there is no idle one or `unproven_first`;
-    /// returns whether there was one.
+    /// Evicts the session that has been inactive longest and returns whether there was one. Idle sessions are evicted
+    /// before unproven ones, unless `unproven_first` is set.
     fn evict_one(&mut self, unproven_first: bool) -> bool {
         let from_unproven = !self.unproven.is_empty() && (unproven_first || self.idle.is_empty());
         let candidates = if from_unproven { &mut self.unproven } else { &mut self.idle };
@@ -103,15 +103,15 @@
         true
     }
 
-    /// Sessions that were evicted and have not left yet: they are in neither queue.
-    fn leaving(&self) -> usize {
-        let quiet = self.sessions.values().filter(|session| session.state != SessionState::Busy);
-        quiet.count() - self.unproven.len() - self.idle.len()
+    /// Number of evicted sessions that have not ended yet. These are in neither queue.
+    fn evicted_open(&self) -> usize {
+        let not_busy = self.sessions.values().filter(|session| session.state != SessionState::Busy);
+        not_busy.count() - self.unproven.len() - self.idle.len()
     }
 }
 
 impl SessionSlots {
-    /// Slots for `max_sessions`, whose large statements hold at most `max_statement_bytes` together.
+    /// Creates `max_sessions` slots, whose large statements may use `max_statement_bytes` of memory in total.
     pub fn new(max_sessions: usize, max_statement_bytes: usize) -> Self {
         Self { max_statement_bytes, table: Mutex::new(SlotTable { max_sessions, ..SlotTable::default() }) }
     }
@@ -120,12 +120,13 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A slot for a new session, if need be that of another; `None` where all sessions are busy.
+    /// Acquires a slot for a new session and evicts another session if necessary. Returns `None` if no session can be
+    /// evicted or too many evicted ones are still closing.
     pub fn acquire(self: &Arc<Self>, id: u32, now: Instant) -> Option<SessionSlot> {
         let mut table = self.lock();
         let too_many_unproven = table.unproven.len() as f64 >= table.max_sessions as f64 * UNPROVEN_SHARE;
         let is_free = table.sessions.len() < table.max_sessions && !too_many_unproven;
-        let is_full = table.sessions.len() >= table.max_sessions + MAX_OVERLAP;
+        let is_full = table.sessions.len() >= table.max_sessions + MAX_EXCESS_SESSIONS;
         if !is_free && (is_full || !table.evict_one(too_many_unproven)) {
             table.counts.refused += 1;
             return None;
@@ -136,26 +137,26 @@
         Some(SessionSlot { slots: self.clone(), id, evicted })
     }
 
-    /// Sets the number of slots. Where that is fewer, silent sessions are evicted, and busy ones never.
+    /// Sets the number of slots. If there are more sessions, inactive ones are evicted; busy ones stay.
     pub fn resize(&self, max_sessions: usize) {
         let mut table = self.lock();
         table.max_sessions = max_sessions;
-        while table.sessions.len() > max_sessions + table.leaving() && table.evict_one(true) {}
+        while table.sessions.len() > max_sessions + table.evicted_open() && table.evict_one(true) {}
     }
 
-    /// Counts of sessions that did not get or keep a slot.
+    /// Returns the counts of refused and evicted sessions.
     pub fn counts(&self) -> SlotCounts {
         self.lock().counts
     }
 }
 
 impl SessionSlot {
-    /// Reports what the session is doing now.
+    /// Sets the state of the session.
     pub fn set_state(&self, state: SessionState) {
         self.slots.lock().set_state(self.id, state);
     }
 
-    /// Reserves memory for a statement of that size; `None` where the large statements of others take it all.
+    /// Reserves memory for a statement of `size` bytes. Returns `None` if other large statements leave too little.
     pub fn reserve(&self, size: usize) -> Option<StatementMemory> {
         let bytes = if size > SMALL_STATEMENT_BYTES { size } else { 0 };
         let mut table = self.slots.lock();
