--- a/gateway/src/front/flight/header.rs
+++ b/gateway/src/front/flight/header.rs
@@ -1,10 +1,10 @@
-//! The metadata of a statement.
+//! The request fields in the gRPC metadata of a call.
 
 use reedwalk_scheduler::ClassId;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The metadata of a statement, as read from the call that brought it.
+/// The request fields of a statement, read from the gRPC metadata of the call that submitted it.
 #[derive(Clone, Debug)]
 pub struct Header {
     pub(super) class: ClassId,
--- a/gateway/src/front/flight/mod.rs
+++ b/gateway/src/front/flight/mod.rs
@@ -1,5 +1,5 @@
-//! The front on Arrow Flight SQL: statement queries (GetFlightInfo, then DoGet) and updates (DoPut). All else
-//! is answered UNIMPLEMENTED.
+//! The front for Arrow Flight SQL: statement queries (`GetFlightInfo`, then `DoGet`) and updates (`DoPut`). All other
+//! calls fail with `UNIMPLEMENTED`.
 
 mod header;
 pub mod metadata;
@@ -26,12 +26,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// Calls that one connection carries at a time.
+/// Concurrent calls per connection.
 const MAX_STREAMS: u32 = 64;
-/// How often a quiet connection is checked for whether its peer is still there.
+/// Interval between keep-alive pings.
 const PING_INTERVAL: Duration = Duration::from_secs(20);
 
-/// Accepts connections until the phase says to close. Each connection holds `open_connections` until it has ended.
+/// Accepts connections until the shutdown reaches its closing phase. Each connection holds a clone of `open_connections`
+/// until it has ended.
 pub async fn serve(
     listener: TcpListener,
     service: Service,
@@ -42,17 +43,17 @@
     log: Logger,
 ) {
     let service = FlightServiceServer::new(service).max_decoding_message_size(front.max_message_bytes);
-    let count = Arc::new(AtomicUsize::new(0));
+    let connection_count = Arc::new(AtomicUsize::new(0));
     let open = |stream: TcpStream, phase: watch::Receiver<Phase>| {
-        if count.load(Ordering::Relaxed) >= front.max_connections {
+        if connection_count.load(Ordering::Relaxed) >= front.max_connections {
             return;
         }
         let (service, open_connection, log) = (service.clone(), open_connections.clone(), log.clone());
         let core = cores.place_connection();
         let Ok(stream) = core.adopt_stream(stream) else { return };
-        let counted = CountedConnection::new(&count);
+        let counted = CountedConnection::new(&connection_count);
         core.spawn(async move {
-            connection(stream, service, phase, log).await;
+            serve_connection(stream, service, phase, log).await;
             drop((counted, open_connection));
         });
     };
@@ -72,7 +73,7 @@
     accepted_already(listener).for_each(|stream| open(stream, phase.clone()));
 }
 
-/// One of the connections that the front may hold, until it is dropped.
+/// Counts an open connection until it is dropped.
 struct CountedConnection(Arc<AtomicUsize>);
 
 impl CountedConnection {
@@ -88,9 +89,9 @@
     }
 }
 
-/// Serves one connection. It is not tonic's own server, because that answers CANCELLED at a call's deadline and
-/// drops its handler, where the broker's own answer is wanted.
-async fn connection(
+/// Serves one connection. It doesn't use tonic's server, which drops the handler at a call's deadline and responds with
+/// `CANCELLED` instead of the broker's response.
+async fn serve_connection(
     stream: TcpStream,
     service: FlightServiceServer<Service>,
     mut phase: watch::Receiver<Phase>,
@@ -98,24 +99,24 @@
 ) {
     let _ = stream.set_nodelay(true);
     let mut server = http2::Builder::new(TokioExecutor::new());
-    // A peer that has vanished answers no ping, and its connection ends.
+    // Pings detect a dead peer, whose connection is then closed.
     server.timer(TokioTimer::new()).keep_alive_interval(PING_INTERVAL).max_concurrent_streams(MAX_STREAMS);
-    let served = server.serve_connection(TokioIo::new(stream), TowerToHyperService::new(service));
-    let mut served = pin!(served);
-    let ended = tokio::select! {
-        ended = served.as_mut() => ended,
+    let connection = server.serve_connection(TokioIo::new(stream), TowerToHyperService::new(service));
+    let mut connection = pin!(connection);
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
         () = closing(&mut phase) => {
-            served.as_mut().graceful_shutdown();
-            served.await
+            connection.as_mut().graceful_shutdown();
+            connection.await
         }
     };
-    if let Err(error) = ended {
+    if let Err(error) = result {
         debug!(log, "Flight SQL connection failed"; "error" => %error);
     }
 }
 
 impl Service {
-    /// A service that submits its requests to `request_queue`.
+    /// Creates a service that submits its requests to `request_queue`.
     pub fn new(request_queue: RequestQueue, deployment: Arc<Deployment>, seed: u64) -> Self {
         Self { request_queue, deployment, tickets: Arc::new(ticket::Tickets::new(seed)) }
     }
--- a/gateway/src/front/flight/result.rs
+++ b/gateway/src/front/flight/result.rs
@@ -1,4 +1,4 @@
-//! Responses for gRPC: rows as record batches, rejections and failures as statuses.
+//! Encoding of responses for gRPC: rows as Arrow record batches, rejections and failures as statuses.
 
 use crate::message::{Failure, Rejection, Rows};
 use arrow_array::{ArrayRef, BinaryArray, RecordBatch, StringArray};
@@ -8,12 +8,12 @@
 use tonic::{Code, Status};
 use tonic_types::{ErrorDetails, StatusExt};
 
-/// The domain of the reasons in error details.
+/// Domain of the reasons in error details.
 const DOMAIN: &str = "reedwalk";
 
-/// The rows as record batches: as their engine sent them, if it spoke Arrow, or as columns of text (of bytes,
-/// where a cell is no UTF-8).
-pub fn batches(rows: Rows) -> Result<(SchemaRef, Vec<RecordBatch>), ArrowError> {
+/// Converts rows to record batches. Batches from an Arrow engine stay as they are; other rows become text columns, or
+/// binary columns where a cell is not valid UTF-8.
+pub fn record_batches(rows: Rows) -> Result<(SchemaRef, Vec<RecordBatch>), ArrowError> {
     if let Some(native) = rows.native.0.as_ref().and_then(|n| n.downcast_ref::<Vec<RecordBatch>>())
         && let Some(first) = native.first()
     {
@@ -37,7 +37,7 @@
     Ok((schema, batches))
 }
 
-/// The reason's name in an error's details; the same for both fronts.
+/// Returns the name of a reason in error details.
 pub fn rejection_name(reason: Rejection) -> &'static str {
     match reason {
         Rejection::Busy => "BUSY",
@@ -47,8 +47,8 @@
     }
 }
 
-/// A rejection: a retry is harmless, after the time in the details.
-pub fn rejected(reason: Rejection, retry_after: Option<Duration>) -> Status {
+/// Returns the status of a rejection. The client may retry safely after the time in the error details.
+pub fn rejection_status(reason: Rejection, retry_after: Option<Duration>) -> Status {
     let mut details = ErrorDetails::new();
     details.set_error_info(
         rejection_name(reason),
@@ -58,18 +58,19 @@
     if let Some(after) = retry_after {
         details.set_retry_info(Some(after));
     }
-    Status::with_error_details(Code::ResourceExhausted, "refused; a further try is harmless", details)
+    Status::with_error_details(Code::ResourceExhausted, "request rejected; it is safe to retry", details)
 }
 
-/// A failure: whether it had an effect is not known. Not UNAVAILABLE, which callers repeat unasked.
-pub fn failed(reason: Failure) -> Status {
+/// Returns the status of a failure, whose statement may have had an effect. It is never `UNAVAILABLE`, because clients
+/// retry that automatically.
+pub fn failure_status(reason: Failure) -> Status {
     match reason {
-        Failure::Deadline => Status::deadline_exceeded("the query's time ran out"),
-        Failure::IdInUse => Status::already_exists("a query with this id is open"),
+        Failure::Deadline => Status::deadline_exceeded("the query's deadline has passed"),
+        Failure::IdInUse => Status::already_exists("a query with this trace id is already open"),
         Failure::Engine => {
-            let none = std::collections::HashMap::<String, String>::new();
-            let details = ErrorDetails::with_error_info("ENGINE", DOMAIN, none);
-            Status::with_error_details(Code::Internal, "no engine could serve the query", details)
+            let metadata = std::collections::HashMap::<String, String>::new();
+            let details = ErrorDetails::with_error_info("ENGINE", DOMAIN, metadata);
+            Status::with_error_details(Code::Internal, "no engine could execute the query", details)
         }
     }
 }
--- a/gateway/src/front/flight/service.rs
+++ b/gateway/src/front/flight/service.rs
@@ -1,4 +1,4 @@
-//! The Flight SQL service: reads the metadata of a call, submits its request to the broker, and answers.
+//! The Flight SQL service: turns calls into requests to the broker, and responses into results.
 
 use super::header::Header;
 use super::result;
@@ -28,12 +28,12 @@
 use tonic::metadata::MetadataMap;
 use tonic::{Request, Response, Status};
 
-/// Longest idempotency key that is passed on.
+/// Longest accepted idempotency key.
 const MAX_KEY_BYTES: usize = 128;
-/// When a caller may come back for whom there was no ticket.
-const TICKET_RETRY: Duration = Duration::from_secs(1);
+/// Retry time for a client that is rejected because too many tickets are open.
+const TICKET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The front's service; one for all connections.
+/// The Flight SQL service, shared by all connections.
 #[derive(Clone, Debug)]
 pub struct Service {
     pub(super) request_queue: RequestQueue,
@@ -41,20 +41,20 @@
     pub(super) tickets: Arc<Tickets>,
 }
 
-fn bad_field(field: &str) -> Status {
-    Status::invalid_argument(format!("the metadata '{field}' is missing or makes no sense"))
+fn invalid_metadata(key: &str) -> Status {
+    Status::invalid_argument(format!("metadata '{key}' is missing or invalid"))
 }
 
 impl Service {
-    /// Reads the metadata of a call.
-    fn header(&self, metadata: &MetadataMap) -> Result<Header, Status> {
-        let class = self.class(metadata)?;
+    /// Reads the request fields from the metadata of a call.
+    fn read_header(&self, metadata: &MetadataMap) -> Result<Header, Status> {
+        let class = self.read_class(metadata)?;
         let trace = meta::text(metadata, meta::TRACE);
         if trace.is_some_and(|trace| !is_trace_id(trace)) {
-            return Err(bad_field(meta::TRACE));
+            return Err(invalid_metadata(meta::TRACE));
         }
-        let key = self.idempotency_key(metadata, class)?;
-        let work_ms = estimate(metadata, meta::WORK, MAX_WORK_MS)?;
+        let key = self.read_idempotency_key(metadata, class)?;
+        let work_ms = read_estimate(metadata, meta::WORK, MAX_WORK_MS)?;
         Ok(Header {
             class,
             trace: trace.map(str::to_owned),
@@ -62,36 +62,36 @@
             is_retry: meta::text(metadata, meta::RETRY) == Some("1"),
             team: meta::text(metadata, meta::TEAM).map(Arc::from),
             work: work_ms.map(duration_from_ms),
-            memory_mb: estimate(metadata, meta::MEMORY, MAX_MEMORY_MB)?,
+            memory_mb: read_estimate(metadata, meta::MEMORY, MAX_MEMORY_MB)?,
         })
     }
 
-    fn class(&self, metadata: &MetadataMap) -> Result<ClassId, Status> {
-        let name = meta::text(metadata, meta::CLASS).ok_or_else(|| bad_field(meta::CLASS))?;
-        self.deployment.sockets.class_id(name).ok_or_else(|| bad_field(meta::CLASS))
+    fn read_class(&self, metadata: &MetadataMap) -> Result<ClassId, Status> {
+        let name = meta::text(metadata, meta::CLASS).ok_or_else(|| invalid_metadata(meta::CLASS))?;
+        self.deployment.sockets.class_id(name).ok_or_else(|| invalid_metadata(meta::CLASS))
     }
 
-    /// The idempotency key, which a class with keyed retries requires.
-    fn idempotency_key(&self, metadata: &MetadataMap, class: ClassId) -> Result<Option<String>, Status> {
+    /// Reads the idempotency key, which is required if the class deduplicates requests.
+    fn read_idempotency_key(&self, metadata: &MetadataMap, class: ClassId) -> Result<Option<String>, Status> {
         let key = meta::text(metadata, meta::KEY);
         let class = &self.deployment.scheduler.classes[class.0];
         let is_required = class.idempotency.deduplication().is_some();
-        if key.map_or(is_required, |key| !is_key(key)) {
-            return Err(bad_field(meta::KEY));
+        if key.map_or(is_required, |key| !is_valid_key(key)) {
+            return Err(invalid_metadata(meta::KEY));
         }
         Ok(key.map(str::to_owned))
     }
 
-    /// Submits a statement and waits for its response. If this is dropped before that, as when the caller cancels, the
-    /// broker learns that the client has disconnected.
-    async fn run(
+    /// Submits a statement and waits for its response. If the future is dropped earlier, for example because the client
+    /// cancels the call, the broker treats the client as disconnected.
+    async fn execute(
         &self,
         header: Header,
         text: String,
         update: bool,
         metadata: &MetadataMap,
     ) -> Result<Rows, Status> {
-        let request = self.request(header, text, update, metadata)?;
+        let request = self.build_request(header, text, update, metadata)?;
         let response = match self.request_queue.submit(request) {
             Ok(mut pending) => pending.response().await,
             Err(rejected) => Some(rejected),
@@ -99,15 +99,15 @@
         match response {
             Some(message::Response::Served(rows)) => Ok(rows),
             Some(message::Response::Rejected { reason, retry_after }) => {
-                Err(result::rejected(reason, retry_after))
+                Err(result::rejection_status(reason, retry_after))
             }
-            Some(message::Response::Failed(reason)) => Err(result::failed(reason)),
-            None => Err(Status::internal("the broker has ended")),
+            Some(message::Response::Failed(reason)) => Err(result::failure_status(reason)),
+            None => Err(Status::internal("the broker has stopped")),
         }
     }
 
-    /// The request for a statement, its deadline counted from now.
-    fn request(
+    /// Builds the request for a statement. Its timeout starts now.
+    fn build_request(
         &self,
         header: Header,
         text: String,
@@ -117,7 +117,7 @@
         let now = Instant::now();
         let max_timeout = self.deployment.scheduler.classes[header.class.0].deadline;
         let timeout = match meta::text(metadata, meta::TIMEOUT) {
-            Some(text) => meta::timeout(text).ok_or_else(|| bad_field(meta::TIMEOUT))?,
+            Some(text) => meta::parse_timeout(text).ok_or_else(|| invalid_metadata(meta::TIMEOUT))?,
             None => max_timeout,
         };
         let trace = header.trace.unwrap_or_else(|| format!("{:016x}", self.request_queue.unique_number()));
@@ -137,16 +137,16 @@
     }
 }
 
-fn is_key(text: &str) -> bool {
-    let is_plain = |byte: u8| byte.is_ascii_graphic() && byte != b',';
-    (1..=MAX_KEY_BYTES).contains(&text.len()) && text.bytes().all(is_plain)
+fn is_valid_key(text: &str) -> bool {
+    let is_valid_byte = |byte: u8| byte.is_ascii_graphic() && byte != b',';
+    (1..=MAX_KEY_BYTES).contains(&text.len()) && text.bytes().all(is_valid_byte)
 }
 
-/// A number of the metadata, of at most `max`, if it is there.
-fn estimate(metadata: &MetadataMap, name: &str, max: f64) -> Result<Option<f64>, Status> {
+/// Reads an optional number of at most `max` from the metadata.
+fn read_estimate(metadata: &MetadataMap, name: &str, max: f64) -> Result<Option<f64>, Status> {
     match meta::number(metadata, name).transpose() {
         Ok(value) if value.is_none_or(|value| value <= max) => Ok(value),
-        _ => Err(bad_field(name)),
+        _ => Err(invalid_metadata(name)),
     }
 }
 
@@ -162,12 +162,12 @@
         if query.transaction_id.is_some() {
             return Err(Status::unimplemented("transactions"));
         }
-        let statement = Statement { header: self.header(request.metadata())?, text: query.query };
+        let statement = Statement { header: self.read_header(request.metadata())?, text: query.query };
         let class = statement.header.class;
         let handle = self.tickets.insert(statement, Instant::now());
         let handle = handle.ok_or_else(|| {
             self.request_queue.count_rejected(class, RequestOutcome::Rejected);
-            result::rejected(Rejection::Shed, Some(TICKET_RETRY))
+            result::rejection_status(Rejection::Shed, Some(TICKET_RETRY_AFTER))
         })?;
         let ticket = TicketStatementQuery { statement_handle: Bytes::copy_from_slice(&handle) };
         let ticket = Ticket::new(ticket.as_any().encode_to_vec());
@@ -181,11 +181,12 @@
         ticket: TicketStatementQuery,
         request: Request<Ticket>,
     ) -> Result<Response<<Self as FlightService>::DoGetStream>, Status> {
-        // A ticket runs once: a second DoGet finds nothing, so it can't repeat the statement.
+        // A ticket is valid for one DoGet, so that a duplicate call can't execute the statement again.
         let statement = self.tickets.take(&ticket.statement_handle);
-        let statement = statement.ok_or_else(|| Status::invalid_argument("the ticket is unknown or used"))?;
-        let rows = self.run(statement.header, statement.text, false, request.metadata()).await?;
-        let (schema, batches) = result::batches(rows).map_err(|e| Status::internal(e.to_string()))?;
+        let statement = statement
+            .ok_or_else(|| Status::invalid_argument("the ticket is unknown, expired or already used"))?;
+        let rows = self.execute(statement.header, statement.text, false, request.metadata()).await?;
+        let (schema, batches) = result::record_batches(rows).map_err(|e| Status::internal(e.to_string()))?;
         let data = FlightDataEncoderBuilder::new().with_schema(schema);
         let data = data.build(stream::iter(batches.into_iter().map(Ok::<_, FlightError>)));
         Ok(Response::new(Box::pin(data.map_err(Status::from))))
@@ -199,10 +200,10 @@
         if command.transaction_id.is_some() {
             return Err(Status::unimplemented("transactions"));
         }
-        let header = self.header(request.metadata())?;
+        let header = self.read_header(request.metadata())?;
         let metadata = request.metadata().clone();
-        let rows = self.run(header, command.query, true, &metadata).await?;
-        // In the protocol -1 stands for a count that is not known.
+        let rows = self.execute(header, command.query, true, &metadata).await?;
+        // In Flight SQL, -1 means that the number of rows is unknown.
         Ok(rows.changed.unwrap_or(-1))
     }
 
--- a/gateway/src/front/flight/ticket.rs
+++ b/gateway/src/front/flight/ticket.rs
@@ -1,4 +1,4 @@
-//! Tickets: a statement that GetFlightInfo took in waits for the one DoGet that runs it.
+//! Tickets, which keep a statement between its `GetFlightInfo` call and the single `DoGet` call that executes it.
 
 use super::header::Header;
 use std::collections::{HashMap, VecDeque};
@@ -6,17 +6,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Tickets held at most.
+/// Limit on the unused tickets.
 const MAX_TICKETS: usize = 1024;
-/// How long a ticket is valid.
+/// Lifetime of a ticket.
 const TICKET_TTL: Duration = Duration::from_secs(60);
-/// Entries of the expiry queue at most; it also holds tickets that were used.
+/// Limit on the entries of the expiry queue, which also contains used tickets.
 const MAX_EXPIRY_ENTRIES: usize = 4 * MAX_TICKETS;
 
-/// What a client hands back to have its statement run.
+/// Identifies a ticket. The client returns it in `DoGet`.
 type TicketHandle = [u8; 16];
 
-/// A statement and its metadata.
+/// A statement and its request fields.
 #[derive(Clone, Debug)]
 pub struct Statement {
     pub header: Header,
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 struct TicketTable {
     by_handle: HashMap<TicketHandle, Statement>,
-    /// When each ticket expires, the soonest first.
+    /// Expiry times of the tickets, the earliest first.
     expiry: VecDeque<(Instant, TicketHandle)>,
     last_number: u64,
 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// The tickets given out and not yet used.
+/// The tickets that have been issued and not used yet.
 #[derive(Debug)]
 pub struct Tickets {
     table: Mutex<TicketTable>,
@@ -51,7 +51,7 @@
 }
 
 impl Tickets {
-    /// No tickets; `seed` tells the handles of one process from another's.
+    /// Creates an empty table. `seed` distinguishes the handles of this process from those of others.
     pub fn new(seed: u64) -> Self {
         Self { table: Mutex::default(), seed }
     }
@@ -60,7 +60,7 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Stores a statement and returns its ticket's handle; `None` if too many tickets are out.
+    /// Stores a statement and returns the handle of its ticket, or `None` if there are too many tickets.
     pub fn insert(&self, statement: Statement, now: Instant) -> Option<TicketHandle> {
         let mut table = self.lock();
         table.remove_expired(now);
@@ -74,7 +74,7 @@
         Some(handle)
     }
 
-    /// Removes and returns the statement of a ticket; a second time there is none.
+    /// Removes and returns the statement of a ticket, or `None` if the ticket is unknown, expired or already used.
     pub fn take(&self, handle: &[u8]) -> Option<Statement> {
         let handle = TicketHandle::try_from(handle).ok()?;
         self.lock().by_handle.remove(&handle)
--- a/gateway/src/front/sql.rs
+++ b/gateway/src/front/sql.rs
@@ -1,49 +1,49 @@
-//! What the fronts need to know of a statement: its comments, its table group, and whether it is a KILL QUERY. Pure
-//! functions.
+//! The part of SQL parsing that the fronts need: comments, the table group of a statement, and `KILL QUERY`.
 
-/// Length of the comment that `text` begins with, if it does.
+/// Returns the length of the comment at the start of `text`, or `None` if there is no complete one.
 pub fn comment_length(text: &[u8]) -> Option<usize> {
-    let line = || Some(text.iter().position(|b| *b == b'\n').map_or(text.len(), |p| p + 1));
+    let line_length = || Some(text.iter().position(|b| *b == b'\n').map_or(text.len(), |p| p + 1));
     match text {
         [b'/', b'*', ..] => text.windows(2).skip(2).position(|w| w == b"*/").map(|p| p + 4),
-        [b'#', ..] => line(),
-        [b'-', b'-'] => line(),
-        [b'-', b'-', c, ..] if c.is_ascii_whitespace() => line(),
+        [b'#', ..] => line_length(),
+        [b'-', b'-'] => line_length(),
+        [b'-', b'-', c, ..] if c.is_ascii_whitespace() => line_length(),
         _ => None,
     }
 }
 
-/// Length of the string in these quotes that `text` begins with; a quote twice or behind a backslash stays in it.
+/// Returns the length of the quoted string or name at the start of `text`. A doubled quote does not end it, nor does one
+/// escaped with a backslash, except for backquotes.
 fn quoted_length(text: &[u8], quote: u8) -> usize {
-    let mut at = 1;
-    while at < text.len() {
-        if text[at] == b'\\' && quote != b'`' {
-            at += 2;
-        } else if text[at] != quote {
-            at += 1;
-        } else if text.get(at + 1) == Some(&quote) {
-            at += 2;
+    let mut offset = 1;
+    while offset < text.len() {
+        if text[offset] == b'\\' && quote != b'`' {
+            offset += 2;
+        } else if text[offset] != quote {
+            offset += 1;
+        } else if text.get(offset + 1) == Some(&quote) {
+            offset += 2;
         } else {
-            return at + 1;
+            return offset + 1;
         }
     }
     text.len()
 }
 
-/// A name, with its quotes taken off, or the first byte of anything else.
+/// An identifier, keyword or number, without its backquotes, or the first byte of any other token.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Token<'a> {
     Name(&'a [u8]),
     Other(u8),
 }
 
-/// The tokens of a statement, without its comments and spaces.
+/// Returns the tokens of a statement without comments and white space.
 fn tokens(text: &[u8]) -> impl Iterator<Item = Token<'_>> {
-    let mut at = 0;
+    let mut offset = 0;
     std::iter::from_fn(move || {
-        while at < text.len() {
-            let (token, length) = next_token(&text[at..]);
-            at += length;
+        while offset < text.len() {
+            let (token, length) = next_token(&text[offset..]);
+            offset += length;
             if token.is_some() {
                 return token;
             }
@@ -52,13 +52,14 @@
     })
 }
 
-/// The token that `text` begins with, or none for a comment or a space, and its length. `text` is not empty.
+/// Returns the token at the start of `text` and its length; a comment or white space has no token. `text` must not be
+/// empty.
 fn next_token(text: &[u8]) -> (Option<Token<'_>>, usize) {
     let first = text[0];
     if let Some(length) = comment_length(text) {
         return (None, length);
     }
-    // A comment that does not end takes in all the rest.
+    // An unterminated comment extends to the end of the statement.
     if text.starts_with(b"/*") {
         return (None, text.len());
     }
@@ -81,7 +82,7 @@
     byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'$' | 0x80..)
 }
 
-/// The number after the last underscore of a schema's name; the staging schema belongs to no group.
+/// Returns the number after the last underscore of a schema name. The staging schema belongs to no table group.
 fn schema_number(schema: &[u8]) -> Option<u64> {
     if schema.eq_ignore_ascii_case(b"staging") {
         return None;
@@ -91,35 +92,37 @@
     digits.parse().ok().filter(|_| digits.bytes().all(|b| b.is_ascii_digit()))
 }
 
-/// The table group that a statement reads or writes: the number in its schema's name. Names in strings and comments do
-/// not count; a name in a table's position takes precedence over one that may be an alias.
+/// Returns the table group that a statement reads or writes, which is the number in its schema name. Strings and comments
+/// are ignored. A name that follows a keyword such as `FROM` takes precedence over others, which may be aliases.
 pub fn table_group(statement: &[u8]) -> Option<u64> {
     let tokens: Vec<_> = tokens(statement).collect();
-    let mut other = None;
-    for (at, three) in tokens.windows(3).enumerate() {
-        let [Token::Name(schema), Token::Other(b'.'), Token::Name(_)] = three else { continue };
-        let before = at.checked_sub(1).map(|b| tokens[b]);
+    let mut fallback = None;
+    for (index, triple) in tokens.windows(3).enumerate() {
+        let [Token::Name(schema), Token::Other(b'.'), Token::Name(_)] = triple else { continue };
+        let before = index.checked_sub(1).map(|i| tokens[i]);
         if before == Some(Token::Other(b'.')) {
             continue;
         }
-        let Some(found) = schema_number(schema) else { continue };
-        let table = [&b"from"[..], b"into", b"join", b"update", b"table"];
-        if matches!(before, Some(Token::Name(b)) if table.iter().any(|t| b.eq_ignore_ascii_case(t))) {
-            return Some(found);
+        let Some(group) = schema_number(schema) else { continue };
+        let keywords = [&b"from"[..], b"into", b"join", b"update", b"table"];
+        if matches!(before, Some(Token::Name(name)) if keywords.iter().any(|k| name.eq_ignore_ascii_case(k)))
+        {
+            return Some(group);
         }
-        other = other.or(Some(found));
+        fallback = fallback.or(Some(group));
     }
-    other
+    fallback
 }
 
-/// The connection that a `KILL QUERY` names.
+/// Returns the connection id of a `KILL QUERY` statement.
 pub fn kill_query(statement: &[u8]) -> Option<u32> {
     let mut tokens = tokens(statement);
-    let mut word = || match tokens.next() {
+    let mut next_name = || match tokens.next() {
         Some(Token::Name(name)) => Some(name),
         _ => None,
     };
-    let kill = word()?.eq_ignore_ascii_case(b"kill") && word()?.eq_ignore_ascii_case(b"query");
-    let id = word().filter(|_| kill)?;
+    let is_kill_query =
+        next_name()?.eq_ignore_ascii_case(b"kill") && next_name()?.eq_ignore_ascii_case(b"query");
+    let id = next_name().filter(|_| is_kill_query)?;
     std::str::from_utf8(id).ok()?.parse().ok()
 }
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
 use reedwalk_gateway::engine::resp::wire::{put_array, put_attempt, read_page, read_reply, take_array};
-use reedwalk_gateway::front::flight::metadata::timeout;
+use reedwalk_gateway::front::flight::metadata::parse_timeout;
 use reedwalk_gateway::front::mysql::fields::take_fields;
 use reedwalk_gateway::front::mysql::packet::{Writer, read_command, read_login, take_packet};
 use reedwalk_gateway::front::sql::{kill_query, table_group};
@@ -87,7 +87,7 @@
         let _ = (table_group(&bytes), kill_query(&bytes), read_page(&bytes, &mut Rows::default()));
         let id = garbage.first_chunk().map_or(0, |id| u16::from_be_bytes(*id));
         let _ = reedwalk_gateway::discovery::dns::read(&garbage, &[id]);
-        let _ = timeout(&String::from_utf8_lossy(&garbage));
+        let _ = parse_timeout(&String::from_utf8_lossy(&garbage));
     }
 
     #[test]
@@ -165,9 +165,9 @@
 #[test]
 fn grpc_timeout_has_at_most_eight_digits_and_a_unit() {
     use std::time::Duration;
-    assert_eq!(timeout("250m"), Some(Duration::from_millis(250)));
-    assert_eq!(timeout("2S"), Some(Duration::from_secs(2)));
-    assert!(["", "m", "123456789m", "1x", "-1m", "1\u{e9}"].iter().all(|t| timeout(t).is_none()));
+    assert_eq!(parse_timeout("250m"), Some(Duration::from_millis(250)));
+    assert_eq!(parse_timeout("2S"), Some(Duration::from_secs(2)));
+    assert!(["", "m", "123456789m", "1x", "-1m", "1\u{e9}"].iter().all(|t| parse_timeout(t).is_none()));
 }
 
 #[test]
