--- a/gateway/src/console/line.rs
+++ b/gateway/src/console/line.rs
@@ -44,12 +44,12 @@
         f.write_str(match self {
             Self::Empty => "the line is empty",
             Self::TooLong => "the line is longer than 256 bytes",
-            Self::InvalidUtf8 => "the line is not valid UTF-8",
+            Self::InvalidUtf8 => "the line is not UTF-8",
             Self::ControlCharacter => "the line contains a control character",
             Self::UnknownCommand => "unknown command; expected HEALTH, DUMP, OFFLINE ID or ONLINE ID",
-            Self::MissingEngineId => "the command requires an engine id",
-            Self::ExtraArguments => "too many arguments",
-            Self::Incomplete => "the connection was closed before the line was complete",
+            Self::MissingEngineId => "the command needs the id of an engine",
+            Self::ExtraArguments => "the command has too many words",
+            Self::Incomplete => "the connection ended before the line did",
         })
     }
 }
--- a/gateway/src/front/mysql/response.rs
+++ b/gateway/src/front/mysql/response.rs
@@ -1,11 +1,10 @@
-//! The broker's responses as packets of the MySQL protocol.
+//! Encoding of the broker's responses as MySQL packets.
 
 use super::packet::Writer;
 use crate::message::{Failure, Rejection, Response};
 use bytes::BytesMut;
 
-/// Writes the final answer to a query. The codes of rejections are those that clients take for "try again"; those of
-/// failures are not.
+/// Encodes the response to a query. Rejections have error codes that clients treat as retryable, failures have others.
 pub fn write_response(out: &mut BytesMut, response: Response) {
     let mut writer = Writer::new(out, 1);
     match response {
