--- a/tests/abandoned_work.rs
+++ b/tests/abandoned_work.rs
@@ -1,4 +1,4 @@
-//! Work whose client has disconnected, priorities, and what is remembered of ended requests.
+//! Work abandoned by its client, priorities, and the size of the state kept about ended requests.
 
 mod common;
 
@@ -17,7 +17,7 @@
     }
     let ids = fixture.arrive_many(QUICK, 10);
     let sent = fixture.sent_count(&ids);
-    assert!(sent <= 1, "24 threads of abandoned work still run: {sent}");
+    assert!(sent <= 1, "24 threads of abandoned work are still in use: {sent}");
 }
 
 #[test]
@@ -31,7 +31,7 @@
     fixture.advance(ms(2995));
     for id in [disconnected, overdue] {
         let is_demotion = |action: &Action| matches!(action, Action::GrantResources { request, priority: 0, .. } if *request == id);
-        assert!(fixture.actions.iter().any(is_demotion), "{id:?} runs on at the lowest priority");
+        assert!(fixture.actions.iter().any(is_demotion), "{id:?} must continue at the lowest priority");
     }
 }
 
@@ -50,7 +50,7 @@
     };
     let (quick, load) = (fixture.arrive(QUICK), fixture.arrive(LONG));
     assert_eq!(priority(&fixture, load), Some(2));
-    assert_eq!(priority(&fixture, quick), None, "the usual priority is not granted anew");
+    assert_eq!(priority(&fixture, quick), None, "the default priority needs no grant");
 }
 
 #[test]
@@ -72,5 +72,5 @@
             tracked.push(fixture.scheduler.tracked_items());
         }
     }
-    assert!(tracked[1] <= tracked[0] + 60, "grew from {} to {}", tracked[0], tracked[1]);
+    assert!(tracked[1] <= tracked[0] + 60, "tracked items grew from {} to {}", tracked[0], tracked[1]);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,22 +1,22 @@
-//! The fixture of the tests: a scheduler, its clock, and all that it has decided.
+//! Test fixture: a scheduler with a simulated clock and a record of its actions.
 #![allow(dead_code)]
 
 use reedwalk_scheduler::*;
 use std::time::Duration;
 
-/// Time between two steps while time passes, in microseconds.
+/// Interval between scheduler steps in `advance`, in microseconds.
 const STEP_US: u64 = 5000;
 
-/// The class of quick queries on one thread, with a priority weight of 1.
+/// Index of the class of quick queries: one thread, priority weight 1.
 pub const QUICK: usize = 0;
-/// The class of long queries on four threads, with a priority weight of 10.
+/// Index of the class of long queries: four threads, priority weight 10.
 pub const LONG: usize = 1;
 
 pub fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Two classes, quick and long, on engines of 16 cores.
+/// Settings with two classes, quick and long, and engines of 16 cores.
 pub fn settings() -> Settings {
     let quick = ClassSettings::new(ms(300), ms(3000));
     let long = ClassSettings { priority_weight: 10.0, threads: 4, ..ClassSettings::new(ms(3000), ms(15000)) };
@@ -26,18 +26,18 @@
     settings
 }
 
-/// A scheduler, its clock, and all that it has decided.
+/// A scheduler with a simulated clock and a record of its actions.
 pub struct SchedulerFixture {
     pub scheduler: Scheduler,
-    /// The clock, in microseconds.
+    /// Simulated time, in microseconds.
     pub now: u64,
-    /// All actions so far.
+    /// All actions returned so far.
     pub actions: Vec<Action>,
     last_request: u64,
 }
 
 impl SchedulerFixture {
-    /// With so many engines that have long been in service, numbered from 0.
+    /// Creates a fixture whose engines are past slow start; their ids count from 0.
     pub fn new(settings: Settings, engines: u32) -> Self {
         Self::with_seed(settings, engines, 7)
     }
@@ -50,7 +50,7 @@
         fixture
     }
 
-    /// One step at the present time; its actions are recorded and returned.
+    /// Runs one scheduler step at the current time; records and returns its actions.
     pub fn step(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.scheduler.step(Time(self.now), events, &mut actions);
@@ -58,7 +58,7 @@
         actions
     }
 
-    /// Time passes in steps of 5 ms.
+    /// Advances the clock by `duration` in steps of 5 ms; returns the actions of these steps.
     pub fn advance(&mut self, duration: Duration) -> Vec<Action> {
         let (from, end) = (self.actions.len(), self.now + duration.as_micros() as u64);
         while self.now < end {
@@ -68,34 +68,34 @@
         self.actions[from..].to_vec()
     }
 
-    /// The endpoint list names just these engines.
+    /// Sends a complete endpoint list with exactly these entries.
     pub fn list_engines(&mut self, entries: Vec<EngineEntry>) {
         self.step(&[Event::Endpoints { scope: EndpointScope::Complete, entries }]);
     }
 
-    /// The endpoint list changes by this entry.
+    /// Sends a change of the endpoint list with this entry.
     pub fn change_engine(&mut self, entry: EngineEntry) {
         self.step(&[Event::Endpoints { scope: EndpointScope::Changes, entries: vec![entry] }]);
     }
 
-    /// The endpoint list names an engine that has just started.
+    /// Adds an engine that has just started to the endpoint list.
     pub fn start_engine(&mut self, id: u32) {
         self.change_engine(EngineEntry { started: Some(Time(self.now)), ..EngineEntry::new(EngineId(id)) });
     }
 
-    /// The next request of a class, which has not arrived yet.
+    /// Builds the next request of a class without sending it to the scheduler.
     pub fn new_arrival(&mut self, class: usize) -> Arrival {
         self.last_request += 1;
         let time_left = [ms(3000), ms(15000), ms(15000)][class];
         Arrival::new(RequestId(self.last_request), ClassId(class), time_left)
     }
 
-    /// A request of a class arrives.
+    /// Sends a request of a class to the scheduler.
     pub fn arrive(&mut self, class: usize) -> RequestId {
         self.arrive_with(class, |_| ())
     }
 
-    /// A request of a class arrives, changed in some respect.
+    /// Sends a request of a class to the scheduler after applying `change` to it.
     pub fn arrive_with(&mut self, class: usize, change: impl FnOnce(&mut Arrival)) -> RequestId {
         let mut arrival = self.new_arrival(class);
         change(&mut arrival);
@@ -104,17 +104,17 @@
         id
     }
 
-    /// So many requests of a class arrive, each in a step of its own.
+    /// Sends `count` requests of a class, each in its own step.
     pub fn arrive_many(&mut self, class: usize, count: usize) -> Vec<RequestId> {
         (0..count).map(|_| self.arrive(class)).collect()
     }
 
-    /// An engine reports on a request's attempt.
+    /// Delivers an engine's progress report about an attempt.
     pub fn report_progress(&mut self, request: RequestId, attempt: u32, report: ProgressReport) {
         self.step(&[Event::Progress { request, attempt: AttemptNo(attempt), report }]);
     }
 
-    /// A request's attempt ends; served, it closes the request.
+    /// Ends an attempt of a request; the outcome `Ok` also closes the request.
     pub fn end_attempt(&mut self, request: RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let closed = outcome == Outcome::Ok;
         let attempt = AttemptNo(attempt);
@@ -128,15 +128,15 @@
         })])
     }
 
-    /// The first attempt of each request is served.
-    pub fn end_all_served(&mut self, requests: &[RequestId]) {
+    /// Ends the first attempt of each request with the outcome `Ok`.
+    pub fn serve_all(&mut self, requests: &[RequestId]) {
         for request in requests {
             self.end_attempt(*request, 0, Outcome::Ok);
         }
     }
 
-    /// The first attempt of a request is served, with this load report.
-    pub fn end_served_with_load(&mut self, request: RequestId, load: Option<LoadReport>) {
+    /// Ends the first attempt of a request with the outcome `Ok` and a load report.
+    pub fn serve_with_load_report(&mut self, request: RequestId, load: Option<LoadReport>) {
         let (attempt, outcome) = (AttemptNo(0), Outcome::Ok);
         self.step(&[Event::Ended(AttemptEnded {
             request,
@@ -148,7 +148,7 @@
         })]);
     }
 
-    /// Serves so many requests of a class, one after the other, each in this time.
+    /// Sends `count` requests of a class one after the other; each is served after `duration`.
     pub fn serve(&mut self, class: usize, count: usize, duration: Duration) {
         for _ in 0..count {
             let id = self.arrive(class);
@@ -157,18 +157,18 @@
         }
     }
 
-    /// Serves so many quick requests, one after the other, whose answers report this CPU utilization.
+    /// Serves `count` quick requests one after the other; each answer reports this CPU utilization.
     pub fn serve_with_utilization(&mut self, count: usize, cpu: f64) {
         for _ in 0..count {
             let request = self.arrive(QUICK);
             self.advance(ms(20));
             let load = LoadReport { cpu: Some(cpu), ..LoadReport::default() };
-            self.end_served_with_load(request, Some(load));
+            self.serve_with_load_report(request, Some(load));
         }
     }
 
-    /// Steady sparse traffic: each quick request gets 50 ms, then `outcome` says how its attempt at an engine ends,
-    /// if it does; those that are retried end in turn.
+    /// Sends quick requests one after the other, 50 ms apart. `outcome` gives the result of an attempt at an engine,
+    /// `None` if it gets no answer; retries end in the same way.
     pub fn run_sparse_traffic(
         &mut self,
         requests: usize,
@@ -193,7 +193,7 @@
         id
     }
 
-    /// The engines that a request was sent to, attempt by attempt.
+    /// The engines that a request was sent to, in the order of its attempts.
     pub fn engines_tried(&self, id: RequestId) -> Vec<EngineId> {
         sends(&self.actions).into_iter().filter(|send| send.0 == id).map(|send| send.1).collect()
     }
@@ -203,7 +203,7 @@
         ids.iter().filter(|id| !self.engines_tried(**id).is_empty()).count()
     }
 
-    /// Share of these requests with an attempt at an engine.
+    /// Share of these requests with at least one attempt at `engine`.
     pub fn share_sent_to(&self, engine: u32, ids: &[RequestId]) -> f64 {
         let sent = ids.iter().filter(|id| self.engines_tried(**id).contains(&EngineId(engine))).count();
         sent as f64 / ids.len() as f64
@@ -221,7 +221,7 @@
         self.actions.iter().any(|action| matches!(action, Action::Cancel { request, .. } if *request == id))
     }
 
-    /// The engines ejected on own evidence, and whether for not responding.
+    /// The engines that the scheduler ejected on its own evidence, and whether as unresponsive.
     pub fn ejections(&self) -> Vec<(EngineId, bool)> {
         let ejection = |action: &Action| match action {
             Action::EngineEjected { engine, unresponsive, .. } => Some((*engine, *unresponsive)),
@@ -231,7 +231,7 @@
     }
 }
 
-/// The requests that are sent by these actions, with their engines.
+/// The requests sent by these actions, each with its engine.
 pub fn sends(actions: &[Action]) -> Vec<(RequestId, EngineId)> {
     let send = |action: &Action| match action {
         Action::Send { request, engine, .. } => Some((*request, *engine)),
@@ -240,8 +240,8 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// One of a hundred gateways on thirty engines, after ten answers that have reported this CPU utilization.
-pub fn one_of_a_hundred(ordinal: u64, cpu: f64) -> SchedulerFixture {
+/// One of 100 gateways on 30 engines, after ten answers that reported this CPU utilization.
+pub fn fixture_of_100_gateways(ordinal: u64, cpu: f64) -> SchedulerFixture {
     let mut settings = settings();
     (settings.gateways, settings.ordinal) = (100, ordinal as u32);
     let mut fixture = SchedulerFixture::with_seed(settings, 30, ordinal);
--- a/tests/dispatch_order.rs
+++ b/tests/dispatch_order.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting requests are sent.
+//! The order in which waiting requests are sent to engines.
 
 mod common;
 
@@ -28,7 +28,7 @@
 #[test]
 fn late_queries_are_sent_first_by_value_density() {
     let mut settings = settings();
-    // Late answers count in full, so that neither class is rejected for being late.
+    // A late answer has full value, so neither class is rejected for being late.
     for class in &mut settings.classes {
         class.late_weight = 1.0;
     }
--- a/tests/engine_selection.rs
+++ b/tests/engine_selection.rs
@@ -1,4 +1,4 @@
-//! Which of the engines with capacity a request is sent to.
+//! Selection among the engines that have capacity for a request.
 
 mod common;
 
@@ -25,7 +25,11 @@
     let mut fixture = SchedulerFixture::new(settings(), 4);
     let ids = fixture.run_sparse_traffic(40, |_| Some(Outcome::Ok));
     for engine in 0..4 {
-        assert_eq!(fixture.share_sent_to(engine, &ids), 0.25, "one at a time, each engine in turn");
+        assert_eq!(
+            fixture.share_sent_to(engine, &ids),
+            0.25,
+            "queries that run one at a time go to each engine in turn"
+        );
     }
 }
 
@@ -39,15 +43,15 @@
     };
     let ids = fixture.run_sparse_traffic(60, |_| Some(Outcome::Ok));
     assert_eq!(engines_used(&fixture, &ids), 1, "one query at a time needs one connection, not thirty");
-    // The fewest own queries still come first, and an engine that has just started gets its share.
+    // Engines with the fewest own queries still take precedence, and an engine that has just started gets its share.
     let together = fixture.arrive_many(QUICK, 4);
     assert_eq!(engines_used(&fixture, &together), 4);
-    fixture.end_all_served(&together);
+    fixture.serve_all(&together);
     let entry =
         EngineEntry { started: Some(Time(fixture.now - 11_000_000)), ..EngineEntry::new(EngineId(30)) };
     fixture.change_engine(entry);
     let ids = fixture.run_sparse_traffic(20, |_| Some(Outcome::Ok));
-    assert!(fixture.share_sent_to(30, &ids) > 0.0, "the new engine gets none");
+    assert!(fixture.share_sent_to(30, &ids) > 0.0, "the new engine got no query");
 }
 
 #[test]
@@ -59,7 +63,7 @@
     fixture.end_attempt(slow, 0, Outcome::Ok);
     let avoided = fixture.engines_tried(slow)[0];
     let ids = fixture.run_sparse_traffic(8, |_| Some(Outcome::Ok));
-    assert!(fixture.share_sent_to(avoided.0, &ids) < 0.2, "one slow answer is enough for a tie");
+    assert!(fixture.share_sent_to(avoided.0, &ids) < 0.2, "one slow answer decides a tie");
 }
 
 #[test]
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip of other gateways: ejections, restarts, slowdowns, and how many gateways are live.
+//! Gossip from other gateways: ejections, restarts, slowdowns, and the number of live gateways.
 
 mod common;
 
@@ -9,7 +9,7 @@
     Event::EjectedByGossip { engine: EngineId(engine), duration: ms(duration_ms) }
 }
 
-/// One query each 200 ms, served in 20 ms. Returns the engines that they were sent to.
+/// Sends one query every 200 ms, each served in 20 ms. Returns the engines that they were sent to.
 fn serve_one_by_one(fixture: &mut SchedulerFixture, count: usize) -> Vec<EngineId> {
     let serve_one = |fixture: &mut SchedulerFixture| {
         let id = fixture.arrive(QUICK);
@@ -31,13 +31,13 @@
     let engines = serve_one_by_one(&mut fixture, 19);
     assert!(!engines.contains(&EngineId(3)), "{engines:?}");
     fixture.advance(ms(300));
-    // The ejection is over: of a burst the engine gets one query, until that is served.
+    // After the ejection the engine gets one query of a burst, and no other until that one is served.
     let ids = fixture.arrive_many(QUICK, 20);
     let probes: Vec<_> = ids.iter().filter(|id| fixture.engines_tried(**id) == [EngineId(3)]).collect();
     assert_eq!(probes.len(), 1);
     let probe = *probes[0];
     fixture.end_attempt(probe, 0, Outcome::Error);
-    assert_eq!(fixture.ejections(), [(EngineId(3), false)], "on probation one error is enough");
+    assert_eq!(fixture.ejections(), [(EngineId(3), false)], "one error ejects an engine on probation");
 }
 
 #[test]
@@ -46,16 +46,20 @@
     for _ in 0..10 {
         fixture.step(&[ejected_by_gossip(0, 8000), ejected_by_gossip(1, 8000)]);
         let ids = fixture.arrive_many(QUICK, 4);
-        let is_sent = |id: &RequestId| !fixture.engines_tried(*id).is_empty();
-        assert!(ids.iter().all(is_sent) || fixture.scheduler.unavailable_engines() < 2);
-        let sent: Vec<_> = ids.into_iter().filter(is_sent).collect();
+        let was_sent = |id: &RequestId| !fixture.engines_tried(*id).is_empty();
+        assert!(ids.iter().all(was_sent) || fixture.scheduler.unavailable_engines() < 2);
+        let sent: Vec<_> = ids.into_iter().filter(was_sent).collect();
         fixture.advance(ms(50));
-        fixture.end_all_served(&sent);
+        fixture.serve_all(&sent);
     }
     let mut fixture = SchedulerFixture::new(settings(), 5);
     fixture.serve(QUICK, 40, ms(20));
     fixture.step(&[ejected_by_gossip(3, 8000)]);
-    assert_eq!(fixture.scheduler.unavailable_engines(), 0, "it has just served a query");
+    assert_eq!(
+        fixture.scheduler.unavailable_engines(),
+        0,
+        "an engine that has just served a query stays available"
+    );
     let ids = fixture.arrive_many(QUICK, 10);
     assert!(ids.iter().any(|id| fixture.engines_tried(*id) == [EngineId(3)]));
 }
@@ -87,10 +91,10 @@
     assert_eq!(fixture.scheduler.unavailable_engines(), 1);
     fixture.advance(ms(20));
     assert_eq!(fixture.scheduler.unavailable_engines(), 0);
-    assert_eq!(fixture.ejections(), [], "this gateway has no evidence of its own");
+    assert_eq!(fixture.ejections(), [], "this gateway has no evidence of its own to report");
 }
 
-/// Number of queries that one of 20 gateways sends to engines under pressure while so many gateways are live.
+/// Number of queries that one of 20 gateways sends to engines under pressure while `count` gateways are live.
 fn sent_with_live_gateways(count: f64) -> usize {
     let mut settings = settings();
     settings.gateways = 20;
@@ -107,10 +111,11 @@
     let sent = [20.0, 10.0, 2.0].map(sent_with_live_gateways);
     let [all, half, two] = sent;
     assert!(all <= half && half < two, "{all} {half} {two}");
-    assert_eq!(sent_with_live_gateways(0.0), sent_with_live_gateways(1.0), "at least this one is live");
+    assert_eq!(sent_with_live_gateways(0.0), sent_with_live_gateways(1.0), "at least this gateway is live");
 }
 
-/// Number of queries sent to an engine in its first seconds by one of 20 gateways, of which so many are reported live.
+/// Number of queries that one of 20 gateways sends to an engine in its first seconds. `live_gateways` is the number
+/// reported as live.
 fn sent_to_a_new_engine(live_gateways: Option<f64>) -> usize {
     let mut settings = settings();
     settings.gateways = 20;
@@ -133,7 +138,7 @@
 
 #[test]
 fn slow_start_budget_follows_configured_gateways() {
-    // In a partition each half takes the other for dead, and both send.
+    // In a network partition each half considers the other dead, and both send queries.
     let configured = sent_to_a_new_engine(None);
     assert!(configured > 0);
     let with_two_live = sent_to_a_new_engine(Some(2.0));
@@ -152,7 +157,7 @@
     };
     let (usual, in_slow_start) = (sent_to_engine_3(false), sent_to_engine_3(true));
     assert!(usual >= 10 && in_slow_start * 4 <= usual * 3, "{usual} {in_slow_start}");
-    // A restart in the future counts as one now; one of an engine that is not listed is ignored.
+    // A start time in the future counts as the current time; a restart of an unlisted engine is ignored.
     let mut fixture = SchedulerFixture::new(settings(), 2);
     fixture.step(&[Event::EngineRestarted { engine: EngineId(9), started: Time(u64::MAX) }]);
     fixture.step(&[Event::EngineRestarted { engine: EngineId(0), started: Time(u64::MAX) }]);
@@ -169,9 +174,13 @@
         serve_one_by_one(&mut fixture, 10).into_iter().filter(|engine| *engine == EngineId(3)).count()
     };
     let slow = Event::SlowdownObserved { engine: EngineId(3), slowdown: 8.0 };
-    assert!(sent_to_engine_3(&[], 1200) > 0, "as many as any");
-    assert_eq!(sent_to_engine_3(std::slice::from_ref(&slow), 1200), 0, "the others are idle");
-    // No report makes an engine look faster than unloaded, and one of an unknown engine changes nothing.
+    assert!(sent_to_engine_3(&[], 1200) > 0, "the engine gets its usual share");
+    assert_eq!(
+        sent_to_engine_3(std::slice::from_ref(&slow), 1200),
+        0,
+        "idle engines are preferred to a slow one"
+    );
+    // No report makes an engine look faster than an unloaded one, and a report about an unknown engine changes nothing.
     let invalid =
         [f64::NAN, -1.0, 0.0].map(|slowdown| Event::SlowdownObserved { engine: EngineId(3), slowdown });
     assert!(sent_to_engine_3(&invalid, 1200) > 0);
@@ -189,5 +198,8 @@
     let engine = fixture.engines_tried(id)[0];
     assert!(fixture.scheduler.observations().any(|seen| seen.engine == engine && seen.threads == 1.0));
     fixture.advance(ms(1100));
-    assert!(fixture.scheduler.observations().all(|seen| seen.slowdown.is_none()), "too long ago");
+    assert!(
+        fixture.scheduler.observations().all(|seen| seen.slowdown.is_none()),
+        "observations have expired"
+    );
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,9 +1,9 @@
-//! CI passes over the failing tests that `KNOWN-RED.txt` lists, and over nothing else.
+//! The CI test script tolerates failures of the tests listed in `KNOWN-RED.txt` and of no others.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// A package of its own with a passing test, some that fail, and a list of known failures.
+/// A temporary package with one passing test, some failing tests, and optionally a list of known failures.
 struct Package(PathBuf);
 
 impl Package {
@@ -25,7 +25,7 @@
         Self(folder)
     }
 
-    /// Runs the CI script's tests; whether they pass, and the output.
+    /// Runs the CI test script; returns whether it succeeded, and its output.
     fn run(&self) -> (bool, String) {
         let mut lock = Command::new(env!("CARGO"));
         lock.args(["generate-lockfile", "--offline"]).current_dir(&self.0);
@@ -59,7 +59,7 @@
     let (passed, output) = Package::new("listed", &["red"], Some("red | a cause | issue 28\n")).run();
     assert!(passed, "{output}");
     assert!(output.contains("known red: red failed") && output.contains("a cause"), "{output}");
-    assert!(output.contains("test result: ok. 1 passed"), "the others run as usual: {output}");
+    assert!(output.contains("test result: ok. 1 passed"), "unlisted tests run as usual: {output}");
     let (passed, output) = Package::new("mended", &[], Some("sound | mended since | 28")).run();
     assert!(passed && output.contains("sound passed: take it off"), "{output}");
 }
--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -1,4 +1,4 @@
-//! Requests that are rejected because they have waited too long.
+//! Rejection of requests that have waited too long.
 
 mod common;
 
@@ -10,12 +10,12 @@
     let mut fixture = SchedulerFixture::new(settings(), 2);
     let ids = fixture.arrive_many(QUICK, 400);
     let sent: Vec<_> = ids.iter().filter(|id| !fixture.engines_tried(**id).is_empty()).copied().collect();
-    assert!(sent.len() <= 50, "own threads beyond 1.5 a core are pressure: {} sent", sent.len());
+    assert!(sent.len() <= 50, "more than 1.5 own threads per core show pressure: {} sent", sent.len());
     fixture.advance(ms(400));
-    fixture.end_all_served(&sent);
+    fixture.serve_all(&sent);
     fixture.advance(ms(3000));
     for id in ids {
-        assert!(fixture.is_rejected(id) || fixture.engines_tried(id).len() == 1, "{id:?} has no answer");
+        assert!(fixture.is_rejected(id) || fixture.engines_tried(id).len() == 1, "{id:?} was not answered");
     }
 }
 
@@ -37,7 +37,10 @@
     let mut fixture = SchedulerFixture::new(settings, 0);
     let long = fixture.arrive(LONG);
     fixture.advance(ms(3000));
-    assert!(fixture.is_rejected(long), "late, its value density is below that of a quick one in time");
+    assert!(
+        fixture.is_rejected(long),
+        "once late, a long request has a lower value density than a quick one in time"
+    );
 }
 
 #[test]
@@ -55,17 +58,17 @@
     let mut settings = settings();
     settings.classes[LONG].late_weight = 0.0;
     let mut fixture = SchedulerFixture::new(settings, 1);
-    // Long queries take twice their objective here, so that their targets lie before their arrival.
+    // Long queries take twice their objective, so their dispatch targets lie before their arrival.
     for _ in 0..3 {
         let id = fixture.arrive(LONG);
         fixture.advance(ms(6000));
         fixture.end_attempt(id, 0, Outcome::Ok);
     }
-    // The one engine is full for a tenth of a second.
+    // The only engine counts as full for 100 ms.
     let id = fixture.arrive(LONG);
     fixture.end_attempt(id, 0, Outcome::Rejected);
     fixture.advance(ms(60));
-    assert!(!fixture.is_rejected(id), "a moment without capacity is no overload");
+    assert!(!fixture.is_rejected(id), "a short lack of capacity is no overload");
     fixture.advance(ms(60));
     assert_eq!(fixture.engines_tried(id).len(), 2);
 }
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,11 +1,11 @@
-//! Attempts that are cancelled for a retry, and those that are not.
+//! Cancellation of attempts in favour of a retry.
 
 mod common;
 
 use common::*;
 use reedwalk_scheduler::*;
 
-/// Two engines that send progress reports each half second.
+/// Two engines that send progress reports every 500 ms.
 fn fixture_with_progress_reports() -> SchedulerFixture {
     let mut settings = settings();
     settings.engine.progress_interval = Some(ms(500));
@@ -20,11 +20,11 @@
     for _ in 0..5 {
         fixture.advance(ms(400));
         fixture.report_progress(reported, 0, ProgressReport::WaitingForMemory);
-        // Both engines still answer other requests.
+        // Both engines still answer other requests, so neither is at fault.
         fixture.run_sparse_traffic(2, |_| Some(Outcome::Ok));
     }
     assert!(fixture.is_cancelled(lost));
-    assert!(!fixture.is_cancelled(reported), "its engine has reported on it");
+    assert!(!fixture.is_cancelled(reported), "its engine has sent reports about it");
     fixture.end_attempt(lost, 0, Outcome::Cancelled);
     fixture.advance(ms(50));
     assert_eq!(fixture.engines_tried(lost).len(), 2);
@@ -38,7 +38,7 @@
     let id = fixture.arrive(LONG);
     fixture.advance(ms(500));
     fixture.report_progress(id, 0, ProgressReport::Done(0.01));
-    assert!(fixture.is_cancelled(id), "a hundredth done in the usual time: a bad plan");
+    assert!(fixture.is_cancelled(id), "1 % done after the usual time indicates a bad plan");
     fixture.end_attempt(id, 0, Outcome::Ok);
     fixture.advance(ms(200));
     assert_eq!(fixture.engines_tried(id).len(), 1);
@@ -64,8 +64,11 @@
         fixture.engines_tried(id).len()
     };
     let attempts: Vec<_> = (0..10).map(|_| attempts_of_a_costly_query(&mut fixture)).collect();
-    assert_eq!(attempts[0], 2, "once");
-    assert_eq!(attempts[9], 1, "costly in themselves: retries have not helped: {attempts:?}");
+    assert_eq!(attempts[0], 2, "the first costly query is retried once");
+    assert_eq!(
+        attempts[9], 1,
+        "after retries that did not help, a costly query is not retried: {attempts:?}"
+    );
 }
 
 #[test]
@@ -78,6 +81,6 @@
         fixture.report_progress(id, attempt, ProgressReport::Done(0.01));
         fixture.end_attempt(id, attempt, Outcome::Cancelled);
     }
-    assert_eq!(fixture.engines_tried(id).len(), 3, "two retries, each with a new plan");
-    assert!(fixture.is_rejected(id), "then it is answered, not run in vain");
+    assert_eq!(fixture.engines_tried(id).len(), 3, "two retries, each of which may get a better plan");
+    assert!(fixture.is_rejected(id), "it is rejected when no further attempt can finish in time");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The seven rules, one by one.
+//! Tests of each of the seven rules.
 
 mod common;
 
@@ -21,7 +21,7 @@
     let id = fixture.arrive(QUICK);
     fixture.now += 3_000_000;
     fixture.end_attempt(id, 0, Outcome::TimedOut);
-    assert!(fixture.is_rejected(id), "idempotent, so rejected");
+    assert!(fixture.is_rejected(id), "an idempotent request is rejected, not failed");
     fixture.advance(ms(500));
     assert_eq!(fixture.engines_tried(id).len(), 1);
 }
@@ -58,7 +58,11 @@
         let id = fixture.arrive(QUICK);
         let first = fixture.engines_tried(id)[0];
         fixture.end_attempt(id, 0, Outcome::Error);
-        assert_eq!(fixture.engines_tried(id), [first, first], "the other engine is of another group");
+        assert_eq!(
+            fixture.engines_tried(id),
+            [first, first],
+            "the other engine is in another deduplication group"
+        );
         fixture.now += 1_100_000;
         fixture.end_attempt(id, 1, Outcome::Error);
         assert_eq!(fixture.engines_tried(id).len(), 2, "the deduplication window is over");
@@ -94,8 +98,8 @@
     let from = fixture.actions.len();
     fixture.serve(QUICK, 150, ms(10));
     let sent = sends(&fixture.actions[from..]).iter().filter(|send| send.1 == EngineId(2)).count();
-    assert!(sent >= 1, "it warms up on some work");
-    assert!(sent < 75, "idle, it would attract more than a third: {sent}");
+    assert!(sent >= 1, "an engine needs work to warm up");
+    assert!(sent < 75, "without slow start the idle engine would attract more than a third: {sent}");
 }
 
 #[test]
@@ -113,7 +117,7 @@
     fixture.advance(ms(1500));
     let burst = fixture.arrive_many(QUICK, 40);
     let sent = burst.iter().filter(|id| fixture.engines_tried(**id).first() == refusing.as_ref()).count();
-    assert!(sent < 10, "{sent} of a burst were sent to the engine that was down");
+    assert!(sent < 10, "{sent} queries of a burst were sent to the engine that refused connections");
 }
 
 #[test]
@@ -127,13 +131,14 @@
     assert_eq!(ids.map(|id| fixture.engines_tried(id).len()), [1, 0, 0]);
     fixture.end_attempt(ids[0], 0, Outcome::Ok);
     assert_eq!(fixture.engines_tried(ids[1]).len(), 1);
-    // The client disconnects: the attempt is cancelled, and the key waits for its outcome and settles after it.
+    // When the client disconnects, the attempt is cancelled. The key is blocked until the attempt's outcome is known and
+    // for the settle time after it.
     fixture.step(&[Event::ClientDisconnected(ids[1])]);
     fixture.advance(ms(600));
-    assert_eq!(fixture.engines_tried(ids[2]).len(), 0, "an attempt has no outcome yet");
+    assert_eq!(fixture.engines_tried(ids[2]).len(), 0, "the cancelled attempt has no outcome yet");
     fixture.end_attempt(ids[1], 0, Outcome::Cancelled);
     fixture.advance(ms(390));
-    assert_eq!(fixture.engines_tried(ids[2]).len(), 0, "the key settles");
+    assert_eq!(fixture.engines_tried(ids[2]).len(), 0, "the ordering key is blocked for the settle time");
     fixture.advance(ms(50));
     assert_eq!(fixture.engines_tried(ids[2]).len(), 1);
 }
@@ -169,7 +174,7 @@
         }
     }
     let retries = sends(&fixture.actions).len() - 10;
-    assert!((1..=3).contains(&retries), "two free and a tenth of ten: {retries}");
+    assert!((1..=3).contains(&retries), "two free retries and a tenth of ten requests: {retries}");
 }
 
 #[test]
@@ -185,7 +190,7 @@
     assert!(fixture.is_rejected(id));
 }
 
-/// Engines 0 and 1 in a zone each, and a class whose retries are deduplicated within a zone.
+/// Engines 0 and 1 in different zones, and a class whose requests are deduplicated within a zone.
 fn two_zones() -> SchedulerFixture {
     let mut settings = settings();
     settings.classes[QUICK].idempotency = Idempotency::Keyed { scope: KeyScope::Zone, window: ms(1000) };
@@ -205,14 +210,17 @@
             assert_eq!(fixture.engines_tried(id), [EngineId(group as u32)]);
             fixture.end_attempt(id, 0, Outcome::Ok);
         }
-        // The window begins with the prior attempt, not with this gateway's.
+        // The deduplication window begins with the prior attempt, not with this gateway's first attempt.
         let prior = Some(PriorAttempt { group, age: ms(990) });
         let id = fixture.arrive_with(QUICK, |arrival| arrival.prior_attempt = prior);
         fixture.advance(ms(15));
         fixture.end_attempt(id, 0, Outcome::Rejected);
         fixture.advance(ms(100));
         assert_eq!(fixture.engines_tried(id).len(), 1);
-        assert!(fixture.is_failed(id) && !fixture.is_rejected(id), "a retry elsewhere is not harmless");
+        assert!(
+            fixture.is_failed(id) && !fixture.is_rejected(id),
+            "a retry in another group could run the request twice"
+        );
     }
 }
 
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Invalid settings are rejected, and the error names the field.
+//! Rejection of invalid settings, with an error that names the field.
 
 mod common;
 
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Engines that have just started get a part of the work.
+//! Limits on the work sent to engines that have just started.
 
 mod common;
 
@@ -13,12 +13,12 @@
     let first_fails = |id: EngineId| Some(if id.0 == 0 { Outcome::Error } else { Outcome::Ok });
     let ids = fixture.run_sparse_traffic(80, first_fails);
     let share = fixture.share_sent_to(3, &ids);
-    assert!(share < 0.4, "a third is the share of an engine that has warmed up: {share}");
+    assert!(share < 0.4, "a warmed-up engine would get a third: {share}");
 }
 
 #[test]
 fn hundreds_of_gateways_keep_to_a_slow_start_budget() {
-    // All learn at once of an engine that has just started; each has wide queries waiting, together a full load.
+    // All gateways learn of the new engine at the same time, and the wide queries that they have waiting would fill it.
     let sent = (0..300u64)
         .filter(|seed| {
             let mut settings = settings();
@@ -31,5 +31,5 @@
             ids.iter().any(|id| fixture.engines_tried(*id).contains(&EngineId(99)))
         })
         .count();
-    assert!(sent <= 12, "its budget is a dozen queries of four threads and half a second: {sent} sent");
+    assert!(sent <= 12, "the budget is twelve queries of four threads and half a second each: {sent} sent");
 }
