--- a/tests/properties/main.rs
+++ b/tests/properties/main.rs
@@ -1,4 +1,5 @@
-//! Random schedules of events against a checker of the seven rules that knows only events and actions.
+//! Property test: runs the scheduler on random event schedules and checks its actions against the seven rules. The
+//! checker sees only events and actions.
 
 mod random;
 mod rule_checker;
@@ -10,12 +11,12 @@
 fn random_schedules_break_no_rule() {
     let (mut served, mut arrived) = (0, 0);
     for seed in 1..=SCHEDULES {
-        let (served_here, arrived_here) = schedule::run(seed);
-        served += served_here;
-        arrived += arrived_here;
+        let (served_in_schedule, arrived_in_schedule) = schedule::run(seed);
+        served += served_in_schedule;
+        arrived += arrived_in_schedule;
     }
     assert!(
         arrived > 1000 * SCHEDULES as usize && served * 5 > arrived,
-        "the schedules do run: {served} served of {arrived}"
+        "the schedules must have enough traffic: {served} served of {arrived}"
     );
 }
--- a/tests/properties/random.rs
+++ b/tests/properties/random.rs
@@ -1,4 +1,4 @@
-//! A small fixed random source (xorshift): every run draws the same schedules.
+//! A small deterministic random number generator (xorshift), so that every run has the same schedules.
 
 pub struct Random(u64);
 
@@ -7,7 +7,7 @@
         Self(seed)
     }
 
-    /// A whole number below `limit`.
+    /// An integer from 0 to `limit`, exclusive.
     pub fn below(&mut self, limit: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -15,7 +15,7 @@
         self.0 % limit
     }
 
-    /// True once in so many draws.
+    /// True with a probability of 1 in `draws`.
     pub fn one_in(&mut self, draws: u64) -> bool {
         self.below(draws) == 0
     }
--- a/tests/properties/rule_checker.rs
+++ b/tests/properties/rule_checker.rs
@@ -1,4 +1,5 @@
-//! What an observer from outside knows of a scheduler's requests and engines; checks each action against the rules.
+//! Tracks a scheduler's requests and engines from its events and actions only, and checks each action against the
+//! rules.
 
 use reedwalk_scheduler::*;
 use std::collections::BTreeMap;
@@ -16,31 +17,31 @@
     pub cancelled: bool,
 }
 
-/// A request that is not settled yet.
+/// A request that is unanswered or has an attempt in flight.
 pub struct OpenRequest {
     arrival: Arrival,
     pub deadline: u64,
     attempts: u32,
     pub in_flight: Option<InFlight>,
-    /// Engine and time of the first attempt that may have run.
-    possible_run: Option<(EngineId, u64)>,
+    /// Engine and send time of the first attempt that may have run.
+    first_possible_run: Option<(EngineId, u64)>,
     pub answered: bool,
 }
 
-/// The requests of an ordering key, and until when it settles.
+/// The open requests of an ordering key, and the time until which the key is blocked.
 #[derive(Default)]
 struct OrderingQueue {
     requests: Vec<RequestId>,
-    settles_at: u64,
+    blocked_until: u64,
 }
 
-/// An engine as the endpoint list has it, and since when it is not in service.
+/// An engine's entry in the endpoint list, and since when it has been out of service.
 struct ListedEngine {
     entry: EngineEntry,
     out_of_service_since: Option<u64>,
 }
 
-/// What an observer from outside knows.
+/// State known from events and actions alone.
 pub struct RuleChecker {
     pub settings: Settings,
     pub now: u64,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Takes in a message of the endpoint list.
+    /// Applies a message of the endpoint list.
     pub fn on_endpoints(&mut self, scope: EndpointScope, entries: &[EngineEntry]) {
         let now = self.now;
         if scope != EndpointScope::Changes {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Takes in a request that arrives.
+    /// Records the arrival of a request.
     pub fn on_arrival(&mut self, arrival: &Arrival) {
         let is_ordered = self.settings.classes[arrival.class.0].in_order;
         if let (true, Some(key)) = (is_ordered, arrival.ordering_key) {
@@ -92,28 +93,28 @@
             deadline: self.now + micros(arrival.time_left),
             attempts: 0,
             in_flight: None,
-            possible_run: None,
+            first_possible_run: None,
             answered: false,
         };
         self.open.insert(arrival.request, request);
     }
 
-    /// Takes in the end of an attempt; returns its event.
+    /// Records the end of an attempt and returns the event for the scheduler.
     pub fn on_attempt_ended(&mut self, id: RequestId, outcome: Outcome) -> Event {
-        let settles_at = self.now + micros(self.settings.rules.order_settle);
+        let blocked_until = self.now + micros(self.settings.rules.order_settle);
         let is_ordered = self.class(&self.open[&id]).in_order;
         let request = self.open.get_mut(&id).unwrap();
         let attempt = request.in_flight.take().unwrap();
         if outcome != Outcome::Ok && !outcome.never_ran() {
-            request.possible_run.get_or_insert((attempt.engine, attempt.sent));
+            request.first_possible_run.get_or_insert((attempt.engine, attempt.sent));
         }
         let key = request.arrival.ordering_key.filter(|_| is_ordered && outcome.may_still_run());
         if let Some(queue) = key.and_then(|key| self.ordering.get_mut(&key)) {
-            queue.settles_at = queue.settles_at.max(settles_at);
+            queue.blocked_until = queue.blocked_until.max(blocked_until);
         }
         request.answered |= outcome == Outcome::Ok;
         let closed = request.answered;
-        self.settle(id);
+        self.remove_if_complete(id);
         let usage = (outcome == Outcome::Ok)
             .then_some(ResourceUsage { work: Duration::from_millis(80), memory_mb: 64.0 });
         let load = Some(LoadReport { cpu: Some(f64::NAN), ..LoadReport::default() });
@@ -121,19 +122,19 @@
         Event::Ended(AttemptEnded { request: id, attempt, outcome, closed, usage, load })
     }
 
-    /// Takes in that a request's client disconnects.
+    /// Records that a request's client has disconnected.
     pub fn on_disconnect(&mut self, id: RequestId) {
         self.open.get_mut(&id).unwrap().answered = true;
-        self.settle(id);
+        self.remove_if_complete(id);
     }
 
-    /// Checks an action against the rules.
+    /// Panics if an action breaks a rule.
     pub fn check(&mut self, action: &Action) {
         match action {
             Action::Send { request, engine, .. } => self.check_send(*request, *engine),
             Action::Cancel { request, attempt } => {
-                assert!(self.settings.limits.cancel, "cancel is not allowed");
-                let request = self.open.get_mut(request).expect("cancels a known request");
+                assert!(self.settings.limits.cancel, "cancellation is not allowed");
+                let request = self.open.get_mut(request).expect("a cancelled request is known");
                 let in_flight = request.in_flight.as_mut().expect("an attempt is in flight");
                 assert_eq!(in_flight.number, attempt.0);
                 in_flight.cancelled = true;
@@ -142,9 +143,9 @@
                 let open = &self.open[request];
                 let is_harmless = match self.class(open).idempotency {
                     Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. } => true,
-                    _ => open.possible_run.is_none() && open.in_flight.is_none(),
+                    _ => open.first_possible_run.is_none() && open.in_flight.is_none(),
                 };
-                assert!(is_harmless, "rejected though it may have run");
+                assert!(is_harmless, "a request that may have run was rejected");
                 self.answer(*request);
             }
             Action::Fail { request } => self.answer(*request),
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Checks that every request is answered before its deadline.
+    /// Panics if a request is unanswered after its deadline and the permitted slack.
     pub fn check_deadlines(&self) {
         for (id, request) in &self.open {
             let slack = micros(self.settings.rules.answer_slack);
@@ -173,16 +174,16 @@
     }
 
     fn answer(&mut self, id: RequestId) {
-        let request = self.open.get_mut(&id).expect("answers a known request");
+        let request = self.open.get_mut(&id).expect("an answered request is known");
         assert!(!request.answered, "answered twice");
         let slack = micros(self.settings.rules.answer_slack);
-        assert!(self.now <= request.deadline + slack, "answered too late");
+        assert!(self.now <= request.deadline + slack, "answered after its deadline");
         request.answered = true;
-        self.settle(id);
+        self.remove_if_complete(id);
     }
 
-    /// Forgets a request that is answered and has no attempt in flight.
-    fn settle(&mut self, id: RequestId) {
+    /// Removes a request that is answered and has no attempt in flight.
+    fn remove_if_complete(&mut self, id: RequestId) {
         let request = &self.open[&id];
         if request.answered && request.in_flight.is_none() {
             let key = request.arrival.ordering_key;
@@ -194,13 +195,13 @@
     }
 
     fn check_send(&mut self, id: RequestId, to: EngineId) {
-        let request = self.open.get(&id).expect("sends a known request");
-        assert!(!request.answered, "sent after its answer");
-        assert!(request.in_flight.is_none(), "two attempts at once");
+        let request = self.open.get(&id).expect("a request that is sent is known");
+        assert!(!request.answered, "sent after it was answered");
+        assert!(request.in_flight.is_none(), "two attempts in flight at once");
         assert!(request.attempts < self.settings.limits.max_attempts, "too many attempts");
         self.check_placement(request, to);
-        self.check_repetition(request, to);
-        self.check_order(id, request);
+        self.check_idempotency(request, to);
+        self.check_ordering_key(id, request);
         if request.attempts > 0 {
             self.check_retry_budget();
         }
@@ -223,12 +224,12 @@
         assert!(kinds.is_none_or(|kinds| kinds.contains(&entry.kind.unwrap())), "wrong kind");
     }
 
-    fn check_repetition(&self, request: &OpenRequest, to: EngineId) {
-        let Some((first, sent)) = request.possible_run else { return };
+    fn check_idempotency(&self, request: &OpenRequest, to: EngineId) {
+        let Some((first, sent)) = request.first_possible_run else { return };
         let (first, entry) = (&self.engines[&first].entry, &self.engines[&to].entry);
         match self.class(request).idempotency {
             Idempotency::Idempotent => {}
-            Idempotency::NonIdempotent => panic!("retried though it may have run"),
+            Idempotency::NonIdempotent => panic!("a non-idempotent request that may have run was retried"),
             Idempotency::Keyed { scope, window } => {
                 assert!(self.now <= sent + micros(window), "the deduplication window is over");
                 match scope {
@@ -240,11 +241,11 @@
         }
     }
 
-    fn check_order(&self, id: RequestId, request: &OpenRequest) {
+    fn check_ordering_key(&self, id: RequestId, request: &OpenRequest) {
         if let (true, Some(key)) = (self.class(request).in_order, request.arrival.ordering_key) {
-            let OrderingQueue { requests, settles_at } = &self.ordering[&key];
+            let OrderingQueue { requests, blocked_until } = &self.ordering[&key];
             assert_eq!(requests[0], id, "out of order");
-            assert!(request.attempts > 0 || self.now >= *settles_at, "the key settles");
+            assert!(request.attempts > 0 || self.now >= *blocked_until, "the ordering key is still blocked");
         }
     }
 
@@ -254,6 +255,6 @@
         let window = micros(budget.window);
         let recent = |times: &[u64]| times.iter().filter(|time| **time + window > self.now).count() as f64;
         let allowed = budget.free + budget.ratio * recent(&self.arrivals);
-        assert!(recent(&self.retries) <= allowed, "beyond the retry budget");
+        assert!(recent(&self.retries) <= allowed, "the retry budget is exceeded");
     }
 }
--- a/tests/properties/schedule.rs
+++ b/tests/properties/schedule.rs
@@ -1,4 +1,4 @@
-//! A random schedule of events, and a scheduler that is checked after each of its steps.
+//! Generates a random schedule of events and checks the scheduler after each step.
 
 use crate::random::Random;
 use crate::rule_checker::RuleChecker;
@@ -11,7 +11,7 @@
     Duration::from_millis(ms)
 }
 
-/// A schedule that runs: its scheduler, and what is known of it from outside.
+/// A running schedule: the scheduler, and the checker of its actions.
 pub struct Schedule {
     random: Random,
     checker: RuleChecker,
@@ -20,7 +20,7 @@
     served: usize,
 }
 
-/// Runs the schedule of a seed; the numbers of requests served and arrived.
+/// Runs the schedule of a seed; returns the number of requests served and the number that arrived.
 pub fn run(seed: u64) -> (usize, usize) {
     let mut schedule = Schedule::new(seed);
     for step in 0..STEPS {
@@ -39,7 +39,7 @@
     }
 
     fn run_step(&mut self, step: u32) {
-        // Mostly 5 ms on; now and then the clock stands.
+        // The clock usually advances by 5 ms; in one step of ten it stands still.
         self.checker.now += if self.random.one_in(10) { 0 } else { 5000 };
         let mut events = vec![Event::WakeUp];
         if step == 0 || self.random.one_in(150) {
@@ -48,8 +48,8 @@
         if self.random.one_in(200) {
             events.push(Event::EndpointListFailed);
         }
-        let unanswered = self.checker.open.iter().filter(|(_, request)| request.in_flight.is_some());
-        for id in unanswered.map(|(id, _)| *id).collect::<Vec<_>>() {
+        let with_attempt = self.checker.open.iter().filter(|(_, request)| request.in_flight.is_some());
+        for id in with_attempt.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.draw_attempt_events(id, &mut events);
         }
         let disconnected = self.draw_disconnect(&mut events);
@@ -64,16 +64,15 @@
         self.step_scheduler(&events, disconnected);
     }
 
-    /// Steps the scheduler and checks its actions. A client may disconnect in the very step in which its request is
-    /// answered; the answer is then ignored.
+    /// Runs a scheduler step and checks its actions. An answer to a client that disconnects in the same step is ignored.
     fn step_scheduler(&mut self, events: &[Event], disconnected: Option<RequestId>) {
         let mut actions = Vec::new();
         self.scheduler.step(Time(self.checker.now), events, &mut actions);
-        let has_receiver = |action: &&Action| match action {
+        let has_client = |action: &&Action| match action {
             Action::Reject { request, .. } | Action::Fail { request } => Some(*request) != disconnected,
             _ => true,
         };
-        for action in actions.iter().filter(has_receiver) {
+        for action in actions.iter().filter(has_client) {
             self.checker.check(action);
         }
         self.checker.check_deadlines();
@@ -88,7 +87,7 @@
         Event::Endpoints { scope, entries }
     }
 
-    /// What has become of an attempt in flight since the last step, if anything.
+    /// Draws the events of an attempt in flight: its end, a progress report, or nothing.
     fn draw_attempt_events(&mut self, id: RequestId, events: &mut Vec<Event>) {
         let request = &self.checker.open[&id];
         let (in_flight, deadline) = (request.in_flight.as_ref().unwrap(), request.deadline);
@@ -116,7 +115,7 @@
         }
     }
 
-    /// Now and then the client of the oldest request disconnects.
+    /// Disconnects the client of the oldest unanswered request in one step of a hundred.
     fn draw_disconnect(&mut self, events: &mut Vec<Event>) -> Option<RequestId> {
         let oldest = self.checker.open.iter().find(|(_, request)| !request.answered).map(|(id, _)| *id);
         let disconnected = oldest.filter(|_| self.random.one_in(100))?;
