--- a/tests/decision_record/agenda.rs
+++ b/tests/decision_record/agenda.rs
@@ -1,25 +1,25 @@
-//! What is still to come in a stream, by time.
+//! Queue of the tasks scheduled in a simulation.
 
 use std::collections::BTreeMap;
 
-/// Tasks by the time at which they are due, in microseconds; those of one time in the order of entry.
-pub struct Agenda<T> {
+/// Tasks ordered by due time in microseconds; those with the same due time keep their order of insertion.
+pub struct TaskQueue<T> {
     tasks: BTreeMap<(u64, u64), T>,
-    next_serial: u64,
+    next_sequence: u64,
 }
 
-impl<T> Agenda<T> {
+impl<T> TaskQueue<T> {
     pub fn new() -> Self {
-        Self { tasks: BTreeMap::new(), next_serial: 0 }
+        Self { tasks: BTreeMap::new(), next_sequence: 0 }
     }
 
     pub fn add(&mut self, at: u64, task: T) {
-        self.tasks.insert((at, self.next_serial), task);
-        self.next_serial += 1;
+        self.tasks.insert((at, self.next_sequence), task);
+        self.next_sequence += 1;
     }
 
-    /// The next task that is due, and when it was.
-    pub fn take_due(&mut self, now: u64) -> Option<(u64, T)> {
+    /// Removes the earliest task that is due; returns it with its due time.
+    pub fn pop_due(&mut self, now: u64) -> Option<(u64, T)> {
         let entry = self.tasks.first_entry().filter(|entry| entry.key().0 <= now)?;
         let at = entry.key().0;
         Some((at, entry.remove()))
--- a/tests/decision_record/defaults.rs
+++ b/tests/decision_record/defaults.rs
@@ -1,4 +1,4 @@
-//! What the streams have in common, unless one of them says otherwise.
+//! Default settings and traffic of the streams.
 
 use crate::scenario::{ClassLoad, Scenario};
 use reedwalk_scheduler::*;
@@ -38,7 +38,7 @@
     settings
 }
 
-/// A quick class, one on several threads, and a long one that may be late.
+/// A quick class, a class on four threads, and a long class whose late answers have some value.
 pub fn three_classes() -> Vec<ClassSettings> {
     let quick = ClassSettings { priority_weight: 2.0, ..ClassSettings::new(ms(120), ms(1500)) };
     let wide = ClassSettings {
@@ -57,8 +57,8 @@
     vec![quick, wide, long]
 }
 
-/// Traffic for the three classes, as a multiple of what the pool bears with ease.
-pub fn three_loads(factor: f64) -> Vec<ClassLoad> {
+/// Traffic of the three classes. At a factor of 1 the pool is lightly loaded.
+pub fn loads_of_three_classes(factor: f64) -> Vec<ClassLoad> {
     vec![
         ClassLoad { reports_usage: true, ..ClassLoad::new(70.0 * factor, ms(30)) },
         ClassLoad { has_estimates: true, reports_usage: true, ..ClassLoad::new(20.0 * factor, ms(400)) },
--- a/tests/decision_record/disturbances.rs
+++ b/tests/decision_record/disturbances.rs
@@ -1,4 +1,4 @@
-//! What happens beside the traffic: faults, changes of the endpoint list, gossip, stalls.
+//! Disturbances of a simulation: engine faults, changes of the endpoint list, gossip, and stalls of the process.
 
 use crate::scenario::Disturbance;
 use crate::simulation::{Simulation, Task};
@@ -6,20 +6,20 @@
 use std::time::Duration;
 
 impl Simulation<'_> {
-    /// A disturbance happens; the next of its kind is planned.
+    /// Carries out a disturbance and schedules the next one of its kind.
     pub fn on_disturbance(&mut self, number: usize) {
         let (disturbance, _) = self.scenario.disturbances[number];
         self.plan_disturbance(number);
         match disturbance {
             Disturbance::EngineFault(fault, duration) => {
-                let (engine, duration_us) = (self.draw_engine(), self.random.around(duration));
+                let (engine, duration_us) = (self.draw_engine(), self.random.uniform_around(duration));
                 self.pool.engines[engine.0 as usize].fault = Some(fault);
-                self.agenda.add(self.now + duration_us, Task::FaultEnds(engine));
+                self.tasks.add(self.now + duration_us, Task::FaultEnds(engine));
             }
             Disturbance::Restart => self.restart_engine(false),
-            Disturbance::RestartSeenByGossip => self.restart_engine(true),
-            Disturbance::DrainAndReturn => self.take_out(EngineState::Draining),
-            Disturbance::RemoveAndReturn => self.take_out(EngineState::Removed),
+            Disturbance::RestartReportedByGossip => self.restart_engine(true),
+            Disturbance::DrainAndReturn => self.remove_temporarily(EngineState::Draining),
+            Disturbance::RemoveAndReturn => self.remove_temporarily(EngineState::Removed),
             Disturbance::ListReloaded => self.send_list(EndpointScope::Complete),
             Disturbance::ListCached => self.send_list(EndpointScope::Cached),
             Disturbance::ListFailed => self.events.push(Event::EndpointListFailed),
@@ -36,12 +36,12 @@
                 let share = self.random.pick(&[0.0, 0.25, 0.5, 1.0, 1.0]);
                 self.events.push(Event::CapacityShare(share));
             }
-            Disturbance::OwnStall(duration) => self.stall_us = self.random.around(duration),
+            Disturbance::OwnStall(duration) => self.stall_us = self.random.uniform_around(duration),
             Disturbance::HealthCheck => {
                 let (engine, outcome) = (self.draw_engine(), Outcome::Ok);
                 self.events.push(Event::HealthChecked { engine, outcome, load: None });
             }
-            Disturbance::UnknownIds => self.name_unknown_ids(),
+            Disturbance::UnknownIds => self.send_unknown_ids(),
         }
     }
 
@@ -49,25 +49,24 @@
         EngineId(self.random.below(self.pool.engines.len() as u64) as u32)
     }
 
-    /// An engine's process ends and begins again; the endpoint list reports it at once, or some time after
-    /// other gateways have.
-    fn restart_engine(&mut self, is_seen_by_gossip: bool) {
+    /// Restarts a random engine. The endpoint list reports the restart at once, or some time after gossip has.
+    fn restart_engine(&mut self, is_reported_by_gossip: bool) {
         let (engine, started) = (self.draw_engine(), self.now);
-        // Gossip may be wrong: what runs at the engine then runs on.
-        if is_seen_by_gossip && self.random.chance(0.4) {
+        // False gossip: the engine has not restarted, and its attempts continue.
+        if is_reported_by_gossip && self.random.chance(0.4) {
             return self.events.push(Event::EngineRestarted { engine, started: Time(started) });
         }
         for (request, attempt) in self.pool.restart(engine, started) {
-            self.agenda.add(started, Task::AttemptEnds(request, attempt));
+            self.tasks.add(started, Task::AttemptEnds(request, attempt));
         }
-        if !is_seen_by_gossip {
+        if !is_reported_by_gossip {
             return self.list_restart(engine, started);
         }
-        // The clocks of other gateways may be ahead.
+        // The clock of another gateway may be ahead.
         let seen = started + if self.random.chance(0.3) { self.random.below(800_000) } else { 0 };
         self.events.push(Event::EngineRestarted { engine, started: Time(seen) });
         let listed_at = started + self.random.below(4_000_000);
-        self.agenda.add(listed_at, Task::RestartListed(engine, started));
+        self.tasks.add(listed_at, Task::RestartListed(engine, started));
     }
 
     pub fn list_restart(&mut self, engine: EngineId, started: u64) {
@@ -75,8 +74,8 @@
         self.send_change(engine);
     }
 
-    /// An engine leaves for some seconds; a draining one is removed before it comes back.
-    fn take_out(&mut self, state: EngineState) {
+    /// Takes a random engine out of service for some seconds; a draining engine is removed before it returns.
+    fn remove_temporarily(&mut self, state: EngineState) {
         let engine = self.draw_engine();
         if self.pool.engines[engine.0 as usize].entry.state != EngineState::InService {
             return;
@@ -84,8 +83,8 @@
         self.set_engine_state(engine, state);
         let removed_at = self.now + 500_000 + self.random.below(2_000_000);
         let back_at = removed_at + self.random.below(4_000_000);
-        self.agenda.add(removed_at, Task::EngineState(engine, EngineState::Removed));
-        self.agenda.add(back_at, Task::EngineState(engine, EngineState::InService));
+        self.tasks.add(removed_at, Task::EngineState(engine, EngineState::Removed));
+        self.tasks.add(back_at, Task::EngineState(engine, EngineState::InService));
     }
 
     pub fn set_engine_state(&mut self, id: EngineId, state: EngineState) {
@@ -103,7 +102,7 @@
         self.events.push(Event::Endpoints { scope: EndpointScope::Changes, entries });
     }
 
-    /// All entries of the list; now and then it does not know an engine that is there.
+    /// Sends the whole endpoint list, with a probability of 0.3 without one of the engines.
     fn send_list(&mut self, scope: EndpointScope) {
         let mut entries = self.pool.entries();
         if self.random.chance(0.3) {
@@ -113,7 +112,7 @@
         self.events.push(Event::Endpoints { scope, entries });
     }
 
-    /// Other gateways have ejected one engine, or several at once.
+    /// Reports the ejection of one or several engines by other gateways.
     fn eject_by_gossip(&mut self) {
         for _ in 0..self.random.pick(&[1, 1, 2, 5]) {
             let (engine, duration) =
@@ -122,7 +121,7 @@
         }
     }
 
-    fn name_unknown_ids(&mut self) {
+    fn send_unknown_ids(&mut self) {
         let (request, attempt) = (RequestId(u64::MAX), AttemptNo(3));
         let (engine, known) = (EngineId(9999), self.last_request());
         let unknown_class = Arrival::new(request, ClassId(99), Duration::from_secs(1));
--- a/tests/decision_record/encoding.rs
+++ b/tests/decision_record/encoding.rs
@@ -1,9 +1,9 @@
-//! The recorded words for events, actions and observations: they stay when a variant or a field is renamed.
+//! Text form of events, actions and observations in the record. It stays the same when a variant or a field is renamed.
 
 use reedwalk_scheduler::*;
 use std::time::Duration;
 
-/// An action as one line; numbers with all their bits.
+/// An action as one line; floating-point numbers are written as their bits.
 pub fn action(action: &Action) -> String {
     let kind = action_kind(action);
     match action {
@@ -63,7 +63,7 @@
     }
 }
 
-/// What is counted of an event beside its kind: its outcome, its report, or the scope of its list.
+/// The detail of an event that is counted beside its kind: outcome, report, list scope, or kind of arrival.
 pub fn event_detail(event: &Event) -> Option<&'static str> {
     match event {
         Event::Ended(ended) => Some(outcome(ended.outcome)),
@@ -101,8 +101,8 @@
     }
 }
 
-/// What the public readers of a scheduler say, as one line.
-pub fn readers(scheduler: &Scheduler) -> String {
+/// The values of a scheduler's public read methods, as one line.
+pub fn readout(scheduler: &Scheduler) -> String {
     let mean = |mean: SampledMean| format!("{:x}/{:x}", mean.mean.to_bits(), mean.samples.to_bits());
     let class = |class: ClassLatencyStats| {
         format!("class {} {}", mean(class.execution_time), mean(class.work_per_thread))
--- a/tests/decision_record/main.rs
+++ b/tests/decision_record/main.rs
@@ -1,12 +1,11 @@
-//! A record of decisions: seeded streams of events, and all the actions that come of them, action for action.
+//! Golden-file test of the scheduler's decisions on seeded streams of events.
 //!
-//! Each stream runs one gateway's scheduler against a small simulated pool that answers what it sends. Every
-//! action, with the time of its step, is folded into a hash, and so is what the public readers say. The files
-//! under `golden/` were made by the scheduler as it was before it was taken apart (revision 4c475f9); a change
-//! that decides anything differently shows here, with the first checkpoint that differs.
+//! Each stream runs the scheduler of one gateway against a small simulated pool. All actions, with the times of their
+//! steps, and the values of the scheduler's public read methods are hashed. The files under `golden/` were recorded at
+//! revision 4c475f9, before the scheduler was split into modules. A changed decision fails the test, which prints the
+//! first checkpoint that differs.
 //!
-//! `RECORD_DECISIONS=1` writes the files anew instead of comparing them: for a change that is meant to decide
-//! differently, and for nothing else.
+//! `RECORD_DECISIONS=1` rewrites the files instead of comparing them. Use it only for an intended change of decisions.
 
 mod agenda;
 mod defaults;
@@ -21,7 +20,7 @@
 
 use std::path::PathBuf;
 
-/// Events that each stream has at least.
+/// Minimum number of events in each stream.
 const MIN_EVENTS: u64 = 10_000;
 
 fn golden_file(stream: &str) -> PathBuf {
@@ -32,13 +31,17 @@
 fn verify(stream: scenario::Scenario) {
     let (file, text) = (golden_file(stream.name), simulation::run(&stream).text());
     if std::env::var_os("RECORD_DECISIONS").is_some() {
-        return std::fs::write(file, text).expect("the golden file can be written");
+        return std::fs::write(file, text).expect("the golden file is writable");
     }
-    let golden = std::fs::read_to_string(file).expect("the golden file is there");
+    let golden = std::fs::read_to_string(file).expect("the golden file exists");
     let mut pairs = golden.lines().zip(text.lines());
     let checkpoint = pairs.find(|(before, now)| before != now && before.starts_with("checkpoint"));
-    let first = checkpoint.map_or("none of the checkpoints", |(before, _)| before);
-    assert!(golden == text, "stream {}: other decisions; first to differ: {first}\n{text}", stream.name);
+    let first = checkpoint.map_or("none at a checkpoint", |(before, _)| before);
+    assert!(
+        golden == text,
+        "stream {}: decisions differ from the golden file; first difference: {first}\n{text}",
+        stream.name
+    );
 }
 
 macro_rules! streams {
@@ -70,8 +73,8 @@
     faulty_requests,
 );
 
-/// What some stream at least must have, with the least number of it in one stream.
-const COVERAGE: &[(&str, u64)] = &[
+/// Kinds of events, actions and results, and how many of each at least one stream must have.
+const MIN_COUNTS: &[(&str, u64)] = &[
     ("action send", 5000),
     ("action cancel", 100),
     ("action reject", 100),
@@ -123,8 +126,8 @@
     for (name, file) in STREAMS.iter().zip(&files) {
         assert!(count(file, "events") >= MIN_EVENTS, "{name} has too few events");
     }
-    for (kind, least) in COVERAGE {
-        let most = files.iter().map(|file| count(file, kind)).max().unwrap_or(0);
-        assert!(most >= *least, "{kind}: {most} in one stream at the most");
+    for (kind, min_count) in MIN_COUNTS {
+        let max_count = files.iter().map(|file| count(file, kind)).max().unwrap_or(0);
+        assert!(max_count >= *min_count, "{kind}: no stream has more than {max_count}");
     }
 }
--- a/tests/decision_record/pool.rs
+++ b/tests/decision_record/pool.rs
@@ -1,4 +1,4 @@
-//! A small deterministic pool of engines that answers what the scheduler sends.
+//! A small deterministic pool of engines that runs the attempts sent by the scheduler.
 
 use crate::random::Random;
 use crate::scenario::{ClassLoad, Fault, Scenario};
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A query with a bad plan runs this many times as long.
+/// Factor on the run time of a query with a bad plan.
 const BAD_PLAN_FACTOR: f64 = 8.0;
-/// An engine that has just started runs queries this many times as long, for this time.
+/// Factor on the run time of queries at an engine that has just started, during `SLOW_START_US`.
 const SLOW_START_FACTOR: f64 = 2.5;
 const SLOW_START_US: u64 = 8_000_000;
-/// How long connections that are refused or broken and queries that are rejected take.
+/// Time until a refused connection, a rejected query or a request that was never sent is reported.
 const FAST_ANSWER_US: u64 = 1500;
 
 /// An engine of the pool.
@@ -22,19 +22,19 @@
     threads: f64,
 }
 
-/// What is fixed about a request when it arrives.
+/// The properties of a request that are drawn when it arrives.
 #[derive(Clone)]
 pub struct Query {
     pub arrival: Arrival,
     pub deadline: u64,
-    /// Its work, as time on one thread, in microseconds.
+    /// Run time on one thread, in microseconds.
     work: f64,
     has_bad_plan: bool,
     is_faulty: bool,
     attempts: u32,
 }
 
-/// An attempt that runs at an engine.
+/// An attempt in progress at an engine.
 pub struct RunningAttempt {
     pub engine: EngineId,
     pub attempt: AttemptNo,
@@ -47,13 +47,13 @@
 }
 
 impl RunningAttempt {
-    /// Whether the engine has anything to say of it yet.
+    /// Whether this attempt is still running, so that the engine reports its progress.
     pub fn is_running(&self, attempt: AttemptNo) -> bool {
         self.attempt == attempt && !self.is_cancelled
     }
 }
 
-/// The engines, and the attempts that run there.
+/// The engines, and the attempts in progress at them.
 pub struct Pool {
     pub engines: Vec<SimulatedEngine>,
     pub running: BTreeMap<RequestId, RunningAttempt>,
@@ -81,7 +81,7 @@
         self.engines.iter().map(|engine| engine.entry.clone()).collect()
     }
 
-    /// Starts an attempt, and decides how and when it ends.
+    /// Starts an attempt and determines when it ends and with which outcome.
     pub fn start(
         &mut self,
         query: &Query,
@@ -97,13 +97,14 @@
         engine.threads += threads;
         let cores = settings.cores(engine.entry.kind);
         let contention = ((engine.threads + self.other_threads) / cores).max(1.0);
-        let takes = query.work / threads * contention * engine.slow_factor(now);
-        let (outcome, takes) = engine.answer(query, takes as u64 + 200, random);
+        let duration_us = query.work / threads * contention * engine.slowdown_factor(now);
+        let (outcome, duration_us) = engine.answer(query, duration_us as u64 + 200, random);
         let is_reported_late = random.chance(0.3);
-        let gives_up = query.deadline.max(now + 1) + if is_reported_late { random.below(30_000) } else { 0 };
-        let (outcome, ends) = match now + takes {
-            ends if ends < gives_up => (outcome, ends),
-            _ => (Outcome::TimedOut, gives_up),
+        let client_timeout_at =
+            query.deadline.max(now + 1) + if is_reported_late { random.below(30_000) } else { 0 };
+        let (outcome, ends) = match now + duration_us {
+            ends if ends < client_timeout_at => (outcome, ends),
+            _ => (Outcome::TimedOut, client_timeout_at),
         };
         let (engine, work) = (to, query.work);
         let running =
@@ -111,7 +112,8 @@
         self.running.insert(query.arrival.request, running);
     }
 
-    /// Cancels an attempt; now and then its answer is faster. Returns when it ends.
+    /// Cancels an attempt, which with a probability of 0.1 still ends with an answer. Returns when it ends, unless it ends
+    /// sooner by itself.
     pub fn cancel(
         &mut self,
         request: RequestId,
@@ -130,7 +132,7 @@
         Some(ends)
     }
 
-    /// Ends an attempt, if it is due: returns its event.
+    /// Ends an attempt that is due and returns its event.
     pub fn end(
         &mut self,
         request: RequestId,
@@ -156,11 +158,11 @@
         Some(AttemptEnded { request, attempt, outcome, closed: is_served, usage, load: report })
     }
 
-    /// The engine's process ends: connections of all that runs there break. Returns what ends by that.
+    /// Restarts an engine, which breaks the connections of its attempts. Returns the interrupted attempts.
     pub fn restart(&mut self, id: EngineId, now: u64) -> Vec<(RequestId, AttemptNo)> {
         self.engines[id.0 as usize].restarted_at = Some(now);
-        let there = self.running.iter_mut().filter(|(_, running)| running.engine == id);
-        let broken = there.map(|(request, running)| {
+        let interrupted = self.running.iter_mut().filter(|(_, running)| running.engine == id);
+        let broken = interrupted.map(|(request, running)| {
             (running.ends, running.outcome) = (now, Outcome::Reset);
             (*request, running.attempt)
         });
@@ -173,7 +175,7 @@
         self.fault == Some(Fault::Silent)
     }
 
-    fn slow_factor(&self, now: u64) -> f64 {
+    fn slowdown_factor(&self, now: u64) -> f64 {
         let is_starting = self.restarted_at.is_some_and(|at| now < at + SLOW_START_US);
         let starting = if is_starting { SLOW_START_FACTOR } else { 1.0 };
         match self.fault {
@@ -182,19 +184,19 @@
         }
     }
 
-    /// How an attempt that would take so long ends here, and after how many microseconds.
-    fn answer(&self, query: &Query, takes: u64, random: &mut Random) -> (Outcome, u64) {
+    /// The outcome at this engine of an attempt that would run for `duration_us`, and the microseconds until it ends.
+    fn answer(&self, query: &Query, duration_us: u64, random: &mut Random) -> (Outcome, u64) {
         let is_listed = self.entry.state != EngineState::Removed;
         match self.fault {
             _ if !is_listed => (Outcome::ConnectFailed, FAST_ANSWER_US),
             Some(Fault::Silent) => (Outcome::TimedOut, u64::MAX / 4),
             Some(Fault::Rejects) => (Outcome::Rejected, FAST_ANSWER_US),
             Some(Fault::RefusesConnections) => (Outcome::ConnectFailed, FAST_ANSWER_US),
-            Some(Fault::Resets) => (Outcome::Reset, takes / 2),
-            Some(Fault::Errors(share)) if random.chance(share) => (Outcome::Error, takes / 8),
-            _ if query.is_faulty => (Outcome::Error, takes / 4),
+            Some(Fault::Resets) => (Outcome::Reset, duration_us / 2),
+            Some(Fault::Errors(share)) if random.chance(share) => (Outcome::Error, duration_us / 8),
+            _ if query.is_faulty => (Outcome::Error, duration_us / 4),
             _ if random.chance(0.0005) => (Outcome::NeverSent, FAST_ANSWER_US),
-            _ => (Outcome::Ok, takes),
+            _ => (Outcome::Ok, duration_us),
         }
     }
 
@@ -214,25 +216,25 @@
     pub fn new(arrival: Arrival, load: &ClassLoad, now: u64, random: &mut Random) -> Self {
         let deadline = now + arrival.time_left.as_micros() as u64;
         let mean = load.work.as_micros() as f64;
-        // From a fifth of the mean to several times as much, most of them short.
+        // A skewed distribution from a fifth of the mean to several times the mean, mostly short.
         let work = mean * (0.2 + 2.4 * random.unit() * random.unit() * (0.4 + random.unit()));
         let (has_bad_plan, is_faulty) = (random.chance(load.bad_plans), random.chance(load.faulty_queries));
         Self { arrival, deadline, work, has_bad_plan, is_faulty, attempts: 0 }
     }
 
-    /// The number of its next attempt.
+    /// Allocates the number of the next attempt.
     pub fn take_attempt(&mut self) -> AttemptNo {
         self.attempts += 1;
         AttemptNo(self.attempts - 1)
     }
 
-    /// The query as one of its attempts runs it.
-    pub fn planned(&mut self, persists: f64, random: &mut Random) -> Self {
-        let mut planned = self.clone();
+    /// The query as its next attempt runs it: with the bad plan, if the query still has one.
+    pub fn query_for_attempt(&mut self, bad_plan_persists: f64, random: &mut Random) -> Self {
+        let mut query_for_attempt = self.clone();
         if self.has_bad_plan {
-            planned.work *= BAD_PLAN_FACTOR;
-            self.has_bad_plan = random.chance(persists);
+            query_for_attempt.work *= BAD_PLAN_FACTOR;
+            self.has_bad_plan = random.chance(bad_plan_persists);
         }
-        planned
+        query_for_attempt
     }
 }
--- a/tests/decision_record/random.rs
+++ b/tests/decision_record/random.rs
@@ -1,4 +1,4 @@
-//! A small random source (SplitMix64) that draws the same numbers in every build.
+//! A small deterministic random number generator (SplitMix64), the same in every build.
 
 use std::time::Duration;
 
@@ -16,12 +16,12 @@
         mixed ^ mixed >> 31
     }
 
-    /// A whole number below `limit`.
+    /// An integer from 0 to `limit`, exclusive.
     pub fn below(&mut self, limit: u64) -> u64 {
         self.next() % limit.max(1)
     }
 
-    /// A number from 0 to 1, without 1.
+    /// A number from 0 to 1, exclusive.
     pub fn unit(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -34,8 +34,8 @@
         choices[self.below(choices.len() as u64) as usize]
     }
 
-    /// Microseconds from 0 to twice the mean.
-    pub fn around(&mut self, mean: Duration) -> u64 {
+    /// Microseconds, uniform from 0 to twice the mean.
+    pub fn uniform_around(&mut self, mean: Duration) -> u64 {
         (mean.as_micros() as f64 * 2.0 * self.unit()) as u64
     }
 }
--- a/tests/decision_record/recording.rs
+++ b/tests/decision_record/recording.rs
@@ -1,14 +1,14 @@
-//! The fingerprint of a stream: every action with the time of its step, folded into one hash.
+//! Hash of a stream's actions and the times of their steps, with counts and intermediate checkpoints.
 
 use crate::encoding;
 use reedwalk_scheduler::*;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Steps between two checkpoints.
+/// Number of steps between checkpoints.
 const CHECKPOINT_STEPS: u64 = 500;
 
-/// What has been recorded of a stream so far.
+/// Hash, counts and checkpoints of a stream so far.
 pub struct Recording {
     hasher: blake3::Hasher,
     steps: u64,
@@ -34,9 +34,9 @@
         self.steps
     }
 
-    /// Takes in one step: its time, its events by their number and kinds, and all its actions in their order.
+    /// Adds a step: hashes its time and its actions in order, and counts its events and actions by kind.
     pub fn add_step(&mut self, now: u64, events: &[Event], actions: &[Action]) {
-        self.fold(&format!("step {now}"));
+        self.hash_line(&format!("step {now}"));
         for event in events {
             self.events += u64::from(*event != Event::WakeUp);
             self.count(format!("event {}", encoding::event_kind(event)));
@@ -45,7 +45,7 @@
         for action in actions {
             self.actions += 1;
             self.count(format!("action {}", encoding::action_kind(action)));
-            self.fold(&encoding::action(action));
+            self.hash_line(&encoding::action(action));
         }
         self.steps += 1;
         if self.steps.is_multiple_of(CHECKPOINT_STEPS) {
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Takes in what the public readers of a scheduler say.
-    pub fn add_readers(&mut self, scheduler: &Scheduler) {
-        self.fold(&encoding::readers(scheduler));
+    /// Hashes the values of the scheduler's public read methods.
+    pub fn add_readout(&mut self, scheduler: &Scheduler) {
+        self.hash_line(&encoding::readout(scheduler));
     }
 
-    fn fold(&mut self, line: &str) {
+    fn hash_line(&mut self, line: &str) {
         self.hasher.update(line.as_bytes());
         self.hasher.update(b"\n");
     }
@@ -74,9 +74,9 @@
         let counts = self.counts.iter().map(|(kind, count)| format!("{kind}: {count}"));
         let mut text = format!("steps: {steps}\nevents: {events}\nactions: {actions}\n");
         for line in counts.chain(self.checkpoints.iter().cloned()) {
-            writeln!(text, "{line}").expect("a string takes all");
+            writeln!(text, "{line}").expect("writing to a string cannot fail");
         }
-        writeln!(text, "hash: {}", self.hasher.finalize().to_hex()).expect("a string takes all");
+        writeln!(text, "hash: {}", self.hasher.finalize().to_hex()).expect("writing to a string cannot fail");
         text
     }
 }
--- a/tests/decision_record/scenario.rs
+++ b/tests/decision_record/scenario.rs
@@ -1,41 +1,41 @@
-//! What a stream consists of: a gateway, its pool of engines, its clients and what goes wrong.
+//! Definition of a stream: a gateway, its pool of engines, its traffic and its disturbances.
 
 use reedwalk_scheduler::*;
 use std::time::Duration;
 
-/// How an engine of the simulated pool misbehaves.
+/// A fault of an engine in the simulated pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// Answers this share of its queries with an error.
     Errors(f64),
-    /// Takes queries and answers nothing.
+    /// Accepts queries and never answers.
     Silent,
     /// Rejects every query.
     Rejects,
-    /// Accepts no connection.
+    /// Refuses connections.
     RefusesConnections,
-    /// Breaks its connections.
+    /// Resets connections while queries run.
     Resets,
-    /// Runs queries this many times as long.
+    /// Run time of queries is multiplied by this factor.
     Slow(f64),
 }
 
-/// Something that happens now and then beside the traffic.
+/// An occurrence that disturbs normal operation.
 #[derive(Clone, Copy, Debug)]
 pub enum Disturbance {
-    /// An engine has a fault for this time.
+    /// An engine has a fault for about this time.
     EngineFault(Fault, Duration),
     /// An engine restarts; the endpoint list reports it.
     Restart,
-    /// An engine restarts; other gateways report it before the endpoint list does.
-    RestartSeenByGossip,
-    /// An engine drains, is removed, and comes back.
+    /// An engine restarts; gossip reports it before the endpoint list does. The report may be false.
+    RestartReportedByGossip,
+    /// An engine drains, is removed, and returns.
     DrainAndReturn,
-    /// An engine is removed with no notice, and comes back.
+    /// An engine is removed without draining, and returns.
     RemoveAndReturn,
     /// The complete endpoint list is sent again.
     ListReloaded,
-    /// The endpoint list as it was cached by the process before.
+    /// The endpoint list is sent as one cached by the previous process.
     ListCached,
     /// The endpoint list cannot be read.
     ListFailed,
@@ -47,11 +47,11 @@
     LiveGateways,
     /// This process's share of its gateway's capacity changes.
     CapacityShare,
-    /// The process itself stalls for about this time; some events of that time reach it one step later.
+    /// The gateway process stalls for about this time; some events of that time are delivered one step later.
     OwnStall(Duration),
     /// A health check has ended.
     HealthCheck,
-    /// Events that name unknown requests, engines and classes, or repeat an earlier event.
+    /// Events name unknown requests, engines, classes and attempts.
     UnknownIds,
 }
 
@@ -59,31 +59,31 @@
 #[derive(Clone, Debug)]
 pub struct ClassLoad {
     pub requests_per_s: f64,
-    /// Mean work of a query, as time on one thread.
+    /// Mean run time of a query on one thread.
     pub work: Duration,
-    /// Share of the queries whose first attempt runs eight times as long ...
+    /// Share of the queries whose first attempt has a bad plan and runs eight times as long.
     pub bad_plans: f64,
-    /// ... and share of these of which a retry does as well.
+    /// Probability that the next attempt of such a query has the bad plan again.
     pub bad_plans_persist: f64,
-    /// Share of the queries that end in an error at every engine.
+    /// Share of the queries that fail with an error at every engine.
     pub faulty_queries: f64,
     /// Number of ordering keys in use; 0 for none.
     pub ordering_keys: u64,
     /// Number of table groups in use; 0 for none.
     pub table_groups: u64,
-    /// Arrivals carry estimates of work and memory.
+    /// Most arrivals carry estimates of work and memory.
     pub has_estimates: bool,
-    /// Served queries report the resources that they used.
+    /// Answers report the resources that the query used.
     pub reports_usage: bool,
-    /// Share of the queries that stream their rows.
+    /// Share of the attempts that stream rows before they end.
     pub streams: f64,
     /// Share of the clients that disconnect before their deadline.
     pub disconnects: f64,
-    /// Share of the rejected clients that retry.
+    /// Probability that the client of a rejected request retries it.
     pub client_retries: f64,
-    /// Share of the arrivals with an attempt that another gateway has sent.
+    /// Share of the arrivals with a prior attempt sent by another gateway.
     pub prior_attempts: f64,
-    /// Share of the attempts whose group the shared store records.
+    /// Share of the attempts whose deduplication group is recorded in the shared store.
     pub bound_to_group: f64,
 }
 
@@ -108,7 +108,7 @@
     }
 }
 
-/// One stream: everything that it is made from.
+/// All inputs of one stream.
 pub struct Scenario {
     pub name: &'static str,
     pub seed: u64,
@@ -116,15 +116,15 @@
     /// The traffic of each class of the settings.
     pub load: Vec<ClassLoad>,
     pub engines: Vec<EngineEntry>,
-    /// Each with the mean time between two of its kind.
+    /// Disturbances, each with its mean interval.
     pub disturbances: Vec<(Disturbance, Duration)>,
-    /// Traffic is this many times as much in every other interval of ten seconds.
+    /// Factor on the traffic in every other interval of ten seconds.
     pub burst_factor: f64,
     /// Load that other gateways put on each engine, in threads.
     pub other_threads: f64,
     /// Engines report their load with their answers.
     pub load_reports: bool,
     pub duration: Duration,
-    /// Latency statistics that the process before has left.
+    /// Latency statistics saved by the previous process.
     pub restored_stats: Vec<Option<ClassLatencyStats>>,
 }
--- a/tests/decision_record/simulation.rs
+++ b/tests/decision_record/simulation.rs
@@ -1,6 +1,6 @@
-//! Runs a scenario: feeds the scheduler with events and carries out its actions at the simulated pool.
+//! Runs a scenario: feeds events to the scheduler and applies its actions to the simulated pool.
 
-use crate::agenda::Agenda;
+use crate::agenda::TaskQueue;
 use crate::pool::{Pool, Query};
 use crate::random::Random;
 use crate::recording::Recording;
@@ -10,30 +10,30 @@
 use std::time::Duration;
 
 const START_US: u64 = 1_000_000_000;
-/// Longest time between two steps, in microseconds.
+/// Maximum interval between scheduler steps, in microseconds.
 const MAX_STEP_US: u64 = 8000;
-/// Traffic changes between usual and burst after this time.
+/// Length of each period of usual and of burst traffic.
 const BURST_INTERVAL_US: u64 = 10_000_000;
-/// Steps between two looks at the public readers.
-const READER_STEPS: u64 = 97;
+/// Number of steps between recordings of the scheduler's public read methods.
+const STEPS_PER_READOUT: u64 = 97;
 
-/// What is still to come.
+/// A scheduled occurrence in the simulation.
 pub enum Task {
     /// The next request of a class.
     NextArrival(usize),
-    /// A rejected client retries.
+    /// The client of a rejected request retries it.
     ClientRetry(Box<Arrival>),
     AttemptEnds(RequestId, AttemptNo),
     Progress(RequestId, AttemptNo),
-    /// An event that is sure to come.
+    /// An event for the scheduler that takes place in any case.
     Event(Event),
-    /// A disturbance by its number in the scenario.
-    Disturb(usize),
-    /// An engine's fault is over.
+    /// A disturbance, as its index in the scenario.
+    Disturbance(usize),
+    /// An engine's fault ends.
     FaultEnds(EngineId),
-    /// An engine takes its next state; back in service it has just started.
+    /// An engine's state changes; an engine that returns to service has just started.
     EngineState(EngineId, EngineState),
-    /// The endpoint list reports an engine's restart.
+    /// The endpoint list reports that an engine restarted at this time.
     RestartListed(EngineId, u64),
 }
 
@@ -41,20 +41,20 @@
 pub struct Simulation<'a> {
     pub scenario: &'a Scenario,
     pub random: Random,
-    pub agenda: Agenda<Task>,
+    pub tasks: TaskQueue<Task>,
     pub pool: Pool,
-    /// Events of the next step.
+    /// Events collected for the next step.
     pub events: Vec<Event>,
     pub now: u64,
-    /// The process stalls for this time before its next step.
+    /// The gateway process stalls for this time before the next step.
     pub stall_us: u64,
     queries: BTreeMap<RequestId, Query>,
     next_request: u64,
 }
 
-/// Runs a scenario from its beginning to its end.
+/// Runs a scenario and returns its recording.
 pub fn run(scenario: &Scenario) -> Recording {
-    let mut scheduler = Scheduler::new(scenario.settings.clone(), scenario.seed).expect("sound settings");
+    let mut scheduler = Scheduler::new(scenario.settings.clone(), scenario.seed).expect("valid settings");
     scheduler.restore_class_stats(&scenario.restored_stats);
     let (mut simulation, mut recording) = (Simulation::new(scenario), Recording::new());
     let mut actions = Vec::new();
@@ -64,10 +64,10 @@
         actions.clear();
         scheduler.step(Time(simulation.now), &events, &mut actions);
         recording.add_step(simulation.now, &events, &actions);
-        if recording.steps().is_multiple_of(READER_STEPS) {
-            recording.add_readers(&scheduler);
+        if recording.steps().is_multiple_of(STEPS_PER_READOUT) {
+            recording.add_readout(&scheduler);
         }
-        actions.iter().for_each(|action| simulation.carry_out(action));
+        actions.iter().for_each(|action| simulation.apply_action(action));
     }
     recording
 }
@@ -77,7 +77,7 @@
         let mut simulation = Self {
             scenario,
             random: Random::new(scenario.seed),
-            agenda: Agenda::new(),
+            tasks: TaskQueue::new(),
             pool: Pool::new(scenario),
             events: Vec::new(),
             now: START_US,
@@ -87,19 +87,19 @@
         };
         let scope = EndpointScope::Cached;
         simulation.events.push(Event::Endpoints { scope, entries: scenario.engines.clone() });
-        (0..scenario.load.len()).for_each(|class| simulation.agenda.add(START_US, Task::NextArrival(class)));
+        (0..scenario.load.len()).for_each(|class| simulation.tasks.add(START_US, Task::NextArrival(class)));
         (0..scenario.disturbances.len()).for_each(|number| simulation.plan_disturbance(number));
         simulation
     }
 
-    /// Moves the clock to the next step, and collects what has happened until then.
+    /// Advances the clock to the next step and collects the events until then.
     fn collect_events(&mut self) -> Vec<Event> {
         let stall_us = std::mem::take(&mut self.stall_us);
         self.now += 1 + self.random.below(MAX_STEP_US) + stall_us;
         if stall_us > 0 && self.random.chance(0.5) {
             return vec![Event::WakeUp];
         }
-        while let Some((at, task)) = self.agenda.take_due(self.now) {
+        while let Some((at, task)) = self.tasks.pop_due(self.now) {
             self.on_task(at, task);
         }
         if self.events.is_empty() {
@@ -115,7 +115,7 @@
             Task::AttemptEnds(request, attempt) => self.on_attempt_ends(request, attempt),
             Task::Progress(request, attempt) => self.on_progress(request, attempt),
             Task::Event(event) => self.events.push(event),
-            Task::Disturb(number) => self.on_disturbance(number),
+            Task::Disturbance(number) => self.on_disturbance(number),
             Task::FaultEnds(engine) => self.pool.engines[engine.0 as usize].fault = None,
             Task::EngineState(engine, state) => self.set_engine_state(engine, state),
             Task::RestartListed(engine, started) => self.list_restart(engine, started),
@@ -127,8 +127,8 @@
         let is_burst = (at - START_US) / BURST_INTERVAL_US % 2 == 1;
         let factor = if is_burst { self.scenario.burst_factor } else { 1.0 };
         let mean = Duration::from_secs_f64(1.0 / (load.requests_per_s * factor));
-        let next = at + 1 + self.random.around(mean);
-        self.agenda.add(next, Task::NextArrival(class));
+        let next = at + 1 + self.random.uniform_around(mean);
+        self.tasks.add(next, Task::NextArrival(class));
         let arrival = self.draw_arrival(class);
         self.arrive(arrival);
     }
@@ -143,7 +143,7 @@
         let with_group = load.table_groups > 0 && random.chance(0.8);
         arrival.table_group = with_group.then(|| GroupId(random.below(load.table_groups)));
         if load.has_estimates {
-            let work = Duration::from_micros(random.around(load.work));
+            let work = Duration::from_micros(random.uniform_around(load.work));
             arrival.work = random.chance(0.8).then_some(work);
             arrival.memory_mb = random.chance(0.7).then(|| random.below(64) as f64);
         }
@@ -159,7 +159,7 @@
         arrival
     }
 
-    /// A request arrives; its client may disconnect before it is answered.
+    /// Adds an arrival, and possibly the disconnection of its client before the deadline.
     fn arrive(&mut self, mut arrival: Arrival) {
         let load = &self.scenario.load[arrival.class.0];
         arrival.request = RequestId(self.next_request);
@@ -167,7 +167,7 @@
         let query = Query::new(arrival.clone(), load, self.now, &mut self.random);
         if self.random.chance(load.disconnects) {
             let at = self.now + self.random.below(arrival.time_left.as_micros() as u64);
-            self.agenda.add(at, Task::Event(Event::ClientDisconnected(arrival.request)));
+            self.tasks.add(at, Task::Event(Event::ClientDisconnected(arrival.request)));
         }
         self.queries.insert(arrival.request, query);
         self.events.push(Event::Arrival(arrival));
@@ -180,7 +180,7 @@
         self.events.extend(ended.map(Event::Ended));
     }
 
-    /// A report of a running attempt's engine, and the next one.
+    /// Sends a progress report about a running attempt and schedules the next one.
     fn on_progress(&mut self, request: RequestId, attempt: AttemptNo) {
         let Some(interval) = self.scenario.settings.engine.progress_interval else { return };
         let running = self.pool.running.get(&request).filter(|running| running.is_running(attempt));
@@ -198,16 +198,15 @@
         };
         self.events.push(Event::Progress { request, attempt, report });
         let next = self.now + interval.as_micros() as u64;
-        self.agenda.add(next, Task::Progress(request, attempt));
+        self.tasks.add(next, Task::Progress(request, attempt));
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn apply_action(&mut self, action: &Action) {
         match action {
             Action::Send { request, engine, .. } => self.send(*request, *engine),
             Action::Cancel { request, attempt } => {
                 let ends = self.pool.cancel(*request, *attempt, self.now, &mut self.random);
-                ends.into_iter()
-                    .for_each(|ends| self.agenda.add(ends, Task::AttemptEnds(*request, *attempt)));
+                ends.into_iter().for_each(|ends| self.tasks.add(ends, Task::AttemptEnds(*request, *attempt)));
             }
             Action::Reject { request, retry_after } => self.on_rejected(*request, *retry_after),
             Action::Subscribe => self.on_subscribed(),
@@ -222,55 +221,55 @@
 
     fn send(&mut self, request: RequestId, engine: EngineId) {
         let (settings, now) = (&self.scenario.settings, self.now);
-        let query = self.queries.get_mut(&request).expect("it has arrived");
+        let query = self.queries.get_mut(&request).expect("a request that is sent has arrived");
         let load = &self.scenario.load[query.arrival.class.0];
         let attempt = query.take_attempt();
-        let planned = query.planned(load.bad_plans_persist, &mut self.random);
-        self.pool.start(&planned, attempt, engine, settings, now, &mut self.random);
+        let query_for_attempt = query.query_for_attempt(load.bad_plans_persist, &mut self.random);
+        self.pool.start(&query_for_attempt, attempt, engine, settings, now, &mut self.random);
         let running = &self.pool.running[&request];
-        self.agenda.add(running.ends, Task::AttemptEnds(request, attempt));
+        self.tasks.add(running.ends, Task::AttemptEnds(request, attempt));
         let is_answering = running.outcome == Outcome::Ok || self.random.chance(0.5);
         let is_silent = self.pool.engines[engine.0 as usize].is_silent();
         if let Some(interval) = settings.engine.progress_interval.filter(|_| is_answering && !is_silent) {
-            self.agenda.add(now + interval.as_micros() as u64, Task::Progress(request, attempt));
+            self.tasks.add(now + interval.as_micros() as u64, Task::Progress(request, attempt));
         }
         if self.random.chance(load.streams) && !is_silent {
             let first_row = now + self.random.below(running.ends - now);
-            self.agenda.add(first_row, Task::Event(Event::StreamStarted { request, attempt }));
+            self.tasks.add(first_row, Task::Event(Event::StreamStarted { request, attempt }));
         }
         if self.random.chance(load.bound_to_group) {
-            self.agenda.add(now + 300, Task::Event(Event::BoundToGroup(request)));
+            self.tasks.add(now + 300, Task::Event(Event::BoundToGroup(request)));
         }
     }
 
     fn on_rejected(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let Some(query) = self.queries.get(&request) else { return };
         let load = &self.scenario.load[query.arrival.class.0];
-        let pause = self.random.around(retry_after.unwrap_or(Duration::from_millis(400)));
+        let pause = self.random.uniform_around(retry_after.unwrap_or(Duration::from_millis(400)));
         if self.random.chance(load.client_retries) {
             let retry = Arrival { is_retry: true, ..query.arrival.clone() };
-            self.agenda.add(self.now + pause, Task::ClientRetry(Box::new(retry)));
+            self.tasks.add(self.now + pause, Task::ClientRetry(Box::new(retry)));
         }
     }
 
-    /// The endpoint list answers with all its entries, or not at all.
+    /// Answers a subscription with the complete endpoint list or with a failure.
     fn on_subscribed(&mut self) {
         let event = match self.random.chance(0.3) {
             true => Event::EndpointListFailed,
             false => Event::Endpoints { scope: EndpointScope::Complete, entries: self.pool.entries() },
         };
         let at = self.now + self.random.below(20_000);
-        self.agenda.add(at, Task::Event(event));
+        self.tasks.add(at, Task::Event(event));
     }
 
-    /// Plans the next disturbance of a kind.
+    /// Schedules the next disturbance of a kind.
     pub fn plan_disturbance(&mut self, number: usize) {
         let (_, interval): (Disturbance, Duration) = self.scenario.disturbances[number];
-        let at = self.now + 1 + self.random.around(interval);
-        self.agenda.add(at, Task::Disturb(number));
+        let at = self.now + 1 + self.random.uniform_around(interval);
+        self.tasks.add(at, Task::Disturbance(number));
     }
 
-    /// The number of the last request that has arrived.
+    /// The id of the latest request.
     pub fn last_request(&self) -> RequestId {
         RequestId(self.next_request - 1)
     }
--- a/tests/decision_record/streams.rs
+++ b/tests/decision_record/streams.rs
@@ -1,10 +1,10 @@
-//! The streams of the record: each turns to other decisions of the scheduler.
+//! The streams of the record. Each covers different decisions of the scheduler.
 
-use crate::defaults::{engines, ms, scenario, seconds, settings, three_classes, three_loads};
+use crate::defaults::{engines, loads_of_three_classes, ms, scenario, seconds, settings, three_classes};
 use crate::scenario::{ClassLoad, Disturbance, Fault, Scenario};
 use reedwalk_scheduler::*;
 
-/// Little goes wrong; the bounds rise and fall with the bursts.
+/// Few faults; concurrency limits rise and fall with the bursts.
 pub fn ordinary_traffic() -> Scenario {
     let mut settings = settings(three_classes());
     settings.engine.grants = true;
@@ -22,17 +22,17 @@
         ],
         restored_stats: vec![Some(stats), None],
         load_reports: true,
-        ..scenario("ordinary_traffic", 11, settings, three_loads(1.0))
+        ..scenario("ordinary_traffic", 11, settings, loads_of_three_classes(1.0))
     }
 }
 
-/// More than the pool bears: bounds are cut and load is shed.
+/// More traffic than the pool can serve: concurrency limits fall and requests are shed.
 pub fn overload() -> Scenario {
     let mut settings = settings(three_classes());
     settings.engine.priorities = true;
     settings.limits.max_attempts = 4;
     settings.rules.retry_budget = Some(RetryBudget { free: 1.0, ratio: 0.01, window: seconds(2) });
-    let mut load = three_loads(1.6);
+    let mut load = loads_of_three_classes(1.6);
     load[0].has_estimates = true;
     load[2].has_estimates = true;
     Scenario {
@@ -51,12 +51,12 @@
     }
 }
 
-/// Engines that err, reject, refuse connections and break them.
+/// Engines that return errors, reject queries, refuse connections and reset them.
 pub fn failing_engines() -> Scenario {
     let mut settings = settings(three_classes());
     settings.limits.max_attempts = 4;
     settings.rules.retry_budget = Some(RetryBudget { free: 4.0, ratio: 0.1, window: seconds(3) });
-    let mut load = three_loads(1.0);
+    let mut load = loads_of_three_classes(1.0);
     load[0].faulty_queries = 0.01;
     Scenario {
         disturbances: vec![
@@ -72,13 +72,13 @@
     }
 }
 
-/// Engines that take queries and answer nothing, with progress reports and without.
+/// Engines that accept queries and never answer.
 pub fn silent_engines() -> Scenario {
     let quick = ClassSettings::new(ms(60), ms(1500));
     let mut settings = settings([vec![quick], three_classes()].concat());
     settings.limits.max_attempts = 3;
     let mut load = vec![ClassLoad { reports_usage: true, ..ClassLoad::new(120.0, ms(12)) }];
-    load.extend(three_loads(0.5));
+    load.extend(loads_of_three_classes(0.5));
     Scenario {
         disturbances: vec![
             (Disturbance::EngineFault(Fault::Silent, ms(1500)), seconds(3)),
@@ -90,7 +90,7 @@
     }
 }
 
-/// Engines restart one by one and several at once.
+/// Engines restart one at a time and several together.
 pub fn slow_starts() -> Scenario {
     let mut settings = settings(three_classes());
     settings.gateways = 2;
@@ -99,16 +99,17 @@
     Scenario {
         disturbances: vec![
             (Disturbance::Restart, seconds(4)),
-            (Disturbance::RestartSeenByGossip, seconds(5)),
+            (Disturbance::RestartReportedByGossip, seconds(5)),
             (Disturbance::EngineFault(Fault::RefusesConnections, ms(800)), seconds(9)),
             (Disturbance::LiveGateways, seconds(12)),
             (Disturbance::CapacityShare, seconds(12)),
         ],
-        ..scenario("slow_starts", 15, settings, three_loads(0.8))
+        ..scenario("slow_starts", 15, settings, loads_of_three_classes(0.8))
     }
 }
 
-/// One of very many gateways: a bound is below a query's threads, and slow starts go by chance.
+/// One of many gateways: its limit is below the threads of one query, and sends to an engine in slow start are decided
+/// at random.
 pub fn many_gateways() -> Scenario {
     let mut settings = settings(three_classes());
     settings.gateways = 48;
@@ -126,7 +127,7 @@
         load_reports: true,
         disturbances: vec![
             (Disturbance::Restart, seconds(3)),
-            (Disturbance::RestartSeenByGossip, seconds(4)),
+            (Disturbance::RestartReportedByGossip, seconds(4)),
             (Disturbance::LiveGateways, seconds(5)),
             (Disturbance::SlowdownByGossip, ms(300)),
             (Disturbance::EjectionByGossip, seconds(2)),
@@ -137,7 +138,7 @@
     }
 }
 
-/// Retries of what may have run: idempotency keys of each scope, and requests with none.
+/// Retries of requests that may have run: idempotency keys of each scope, and non-idempotent requests.
 pub fn idempotency_keys() -> Scenario {
     let scopes = [
         Idempotency::Keyed { scope: KeyScope::All, window: ms(1200) },
@@ -175,7 +176,7 @@
     }
 }
 
-/// Ordering keys, bulk loads that lock their tables, and those that wait for them.
+/// Ordering keys, bulk loads that lock their tables, and queries that wait for bulk loads.
 pub fn ordering_and_loads() -> Scenario {
     let ordered = ClassSettings {
         in_order: true,
@@ -214,7 +215,7 @@
     }
 }
 
-/// Queries that run far longer than their class: in one class a retry helps, in the others it often does not.
+/// Queries with bad plans, far slower than their class: a retry helps in one class and often fails to in the others.
 pub fn bad_plans() -> Scenario {
     let class = |deadline| ClassSettings { threads: 2, ..ClassSettings::new(ms(300), deadline) };
     let mut settings = settings(vec![class(seconds(3)), class(seconds(3)), class(ms(700))]);
@@ -238,7 +239,7 @@
     }
 }
 
-/// The endpoint list comes by subscription, breaks, comes again in full and in changes.
+/// The endpoint list comes by subscription, fails, and is sent again in full and as changes.
 pub fn endpoint_list_changes() -> Scenario {
     let mut classes = three_classes();
     classes[0].zones = Some(vec![ZoneId(0)]);
@@ -253,19 +254,19 @@
             (Disturbance::ListFailed, seconds(2)),
             (Disturbance::DrainAndReturn, seconds(2)),
             (Disturbance::RemoveAndReturn, seconds(4)),
-            (Disturbance::RestartSeenByGossip, seconds(9)),
+            (Disturbance::RestartReportedByGossip, seconds(9)),
             (Disturbance::UnknownIds, seconds(3)),
         ],
-        ..scenario("endpoint_list_changes", 20, settings, three_loads(0.9))
+        ..scenario("endpoint_list_changes", 20, settings, loads_of_three_classes(0.9))
     }
 }
 
-/// Thin traffic in many classes: connections go idle, and the pool's means decide.
+/// Sparse traffic in many classes: connections become idle, and decisions rest on means over the pool.
 pub fn sparse_traffic() -> Scenario {
     let mut settings = settings([three_classes(), three_classes()].concat());
     settings.gateways = 8;
     settings.engine.idle_timeout = Some(ms(900));
-    let load = [three_loads(0.12), three_loads(0.08)].concat();
+    let load = [loads_of_three_classes(0.12), loads_of_three_classes(0.08)].concat();
     Scenario {
         engines: engines(24),
         other_threads: 7.0,
@@ -283,14 +284,14 @@
     }
 }
 
-/// Nothing may be cancelled: what is abandoned runs on at the lowest priority.
+/// Cancellation is not allowed: abandoned attempts continue at the lowest priority.
 pub fn no_cancellation() -> Scenario {
     let mut settings = settings(three_classes());
     settings.limits.cancel = false;
     settings.limits.max_retry_after = None;
     settings.engine.priorities = true;
     settings.engine.progress_interval = Some(ms(90));
-    let mut load = three_loads(1.2);
+    let mut load = loads_of_three_classes(1.2);
     load.iter_mut().for_each(|load| load.disconnects = 0.08);
     load[1].bad_plans = 0.1;
     Scenario {
@@ -305,7 +306,7 @@
     }
 }
 
-/// Most requests end in an error at any engine: few answers show latencies, and engines' load reports decide.
+/// Most requests fail at every engine: few answers give latencies, so the engines' load reports decide.
 pub fn faulty_requests() -> Scenario {
     let class = ClassSettings { late_weight: 1.0, ..ClassSettings::new(ms(150), seconds(2)) };
     let mut settings = settings(vec![class]);
