--- a/examples/held.rs
+++ b/examples/held.rs
@@ -1,20 +1,20 @@
-//! What one request costs the decision module while 10, 100 and 1,000 others wait: `make measure-held`.
-//! Prints a row for each count, best of several runs, and the ratio of the last to the first.
+//! Measures the scheduler's CPU time per request while 10, 100 and 1,000 other requests wait: `make measure-held`.
+//! Prints the best of several runs for each count, and the ratio of the last row to the first.
 
 use reedwalk_scheduler::*;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 const ENGINES: u32 = 20;
-/// Requests that are measured in a run, after four times as many that are not.
+/// Requests measured in a run, after the warm-up requests.
 const REQUESTS: u64 = 20_000;
 const WARM_UP_REQUESTS: u64 = 4 * REQUESTS;
 const RUNS: u64 = 5;
-/// Time between two steps, in microseconds.
+/// Interval between scheduler steps, in microseconds.
 const STEP_US: u64 = 100;
 const DEADLINE: Duration = Duration::from_secs(3600);
 
-/// Three classes whose late answers count in full, so that no waiting request is rejected.
+/// Three classes whose late answers have full value, so that no waiting request is rejected.
 fn settings() -> Settings {
     let class = |threads| ClassSettings {
         priority_weight: 1.0,
@@ -28,7 +28,7 @@
     settings
 }
 
-/// A scheduler under pressure: slow answers until its bounds apply, and arrivals that keep so many requests waiting.
+/// A scheduler whose engines are under pressure, so that concurrency limits apply and a fixed number of requests wait.
 struct Run {
     scheduler: Scheduler,
     now: u64,
@@ -61,7 +61,7 @@
         Event::Arrival(Arrival::new(RequestId(self.last_request), class, DEADLINE))
     }
 
-    /// Time that one step took.
+    /// Runs a scheduler step; returns the time that it took.
     fn step(&mut self, events: &[Event]) -> Duration {
         self.actions.clear();
         let began = Instant::now();
@@ -69,15 +69,15 @@
         began.elapsed()
     }
 
-    /// Time of a step that takes in one answer and the arrivals that keep so many waiting.
-    fn answer_one(&mut self, held: u64) -> Duration {
+    /// Runs a step with one answer and as many arrivals as keep `held` requests waiting; returns its time.
+    fn step_with_answer(&mut self, held: u64) -> Duration {
         self.now += STEP_US;
         let mut events = Vec::new();
         while self.waiting < held {
             events.push(self.arrival());
             self.waiting += 1;
         }
-        events.extend(self.in_flight.pop_front().map(served));
+        events.extend(self.in_flight.pop_front().map(served_event));
         let duration = self.step(&events);
         for action in &self.actions {
             if let Action::Send { request, .. } = action {
@@ -89,19 +89,20 @@
     }
 }
 
-fn served(request: RequestId) -> Event {
+fn served_event(request: RequestId) -> Event {
     let usage = Some(ResourceUsage { work: Duration::from_millis(40), memory_mb: 8.0 });
     let (attempt, outcome) = (AttemptNo(0), Outcome::Ok);
     Event::Ended(AttemptEnded { request, attempt, outcome, closed: false, usage, load: None })
 }
 
-/// Microseconds of one core for an arrival and an answer, while so many wait; things remembered in the end.
+/// Returns the CPU time in microseconds for an arrival and an answer while `held` requests wait, and the number of items
+/// that the scheduler tracks at the end.
 fn measure(held: u64, seed: u64) -> (f64, usize) {
     let mut run = Run::new(seed);
     for _ in 0..WARM_UP_REQUESTS {
-        run.answer_one(held);
+        run.step_with_answer(held);
     }
-    let total: Duration = (0..REQUESTS).map(|_| run.answer_one(held)).sum();
+    let total: Duration = (0..REQUESTS).map(|_| run.step_with_answer(held)).sum();
     (total.as_secs_f64() * 1e6 / REQUESTS as f64, run.scheduler.tracked_items())
 }
 
