--- a/examples/held.rs
+++ b/examples/held.rs
@@ -28,7 +28,8 @@
     settings
 }
 
-/// A scheduler whose engines are under pressure, so that concurrency limits apply and a fixed number of requests wait.
+/// A scheduler whose engines come under pressure, so that concurrency limits apply while a fixed number of requests
+/// waits.
 struct Run {
     scheduler: Scheduler,
     now: u64,
@@ -95,8 +96,8 @@
     Event::Ended(AttemptEnded { request, attempt, outcome, closed: false, usage, load: None })
 }
 
-/// Returns the CPU time in microseconds for an arrival and an answer while `held` requests wait, and the number of items
-/// that the scheduler tracks at the end.
+/// Returns the CPU time in microseconds for an arrival and an answer while `held` requests wait, and the number of
+/// items that the scheduler tracks at the end.
 fn measure(held: u64, seed: u64) -> (f64, usize) {
     let mut run = Run::new(seed);
     for _ in 0..WARM_UP_REQUESTS {
--- a/tests/decision_record/pool.rs
+++ b/tests/decision_record/pool.rs
@@ -112,8 +112,8 @@
         self.running.insert(query.arrival.request, running);
     }
 
-    /// Cancels an attempt, which with a probability of 0.1 still ends with an answer. Returns when it ends, unless it ends
-    /// sooner by itself.
+    /// Cancels an attempt, which with a probability of 0.1 still ends with an answer. Returns when it ends, unless
+    /// it ends sooner by itself.
     pub fn cancel(
         &mut self,
         request: RequestId,
--- a/tests/dispatch_order.rs
+++ b/tests/dispatch_order.rs
@@ -17,11 +17,11 @@
 #[test]
 fn work_estimate_moves_the_target_before_outcomes() {
     let mut fixture = SchedulerFixture::new(settings(), 4);
-    let (mut short, mut lengthy) = (fixture.new_arrival(QUICK), fixture.new_arrival(QUICK));
+    let (mut short, mut long_running) = (fixture.new_arrival(QUICK), fixture.new_arrival(QUICK));
     short.work = Some(ms(10));
-    lengthy.work = Some(ms(200));
-    let first = lengthy.request;
-    let actions = fixture.step(&[Event::Arrival(short), Event::Arrival(lengthy)]);
+    long_running.work = Some(ms(200));
+    let first = long_running.request;
+    let actions = fixture.step(&[Event::Arrival(short), Event::Arrival(long_running)]);
     assert_eq!(sends(&actions)[0].0, first);
 }
 
--- a/tests/properties/schedule.rs
+++ b/tests/properties/schedule.rs
@@ -64,7 +64,8 @@
         self.step_scheduler(&events, disconnected);
     }
 
-    /// Runs a scheduler step and checks its actions. An answer to a client that disconnects in the same step is ignored.
+    /// Runs a scheduler step and checks its actions. An answer to a client that disconnects in the same step is
+    /// ignored.
     fn step_scheduler(&mut self, events: &[Event], disconnected: Option<RequestId>) {
         let mut actions = Vec::new();
         self.scheduler.step(Time(self.checker.now), events, &mut actions);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -131,8 +131,8 @@
     assert_eq!(ids.map(|id| fixture.engines_tried(id).len()), [1, 0, 0]);
     fixture.end_attempt(ids[0], 0, Outcome::Ok);
     assert_eq!(fixture.engines_tried(ids[1]).len(), 1);
-    // When the client disconnects, the attempt is cancelled. The key is blocked until the attempt's outcome is known and
-    // for the settle time after it.
+    // When the client disconnects, the attempt is cancelled. The key is blocked until the attempt's outcome is
+    // known and for the settle time after it.
     fixture.step(&[Event::ClientDisconnected(ids[1])]);
     fixture.advance(ms(600));
     assert_eq!(fixture.engines_tried(ids[2]).len(), 0, "the cancelled attempt has no outcome yet");
