--- a/tests/properties/rule_checker.rs
+++ b/tests/properties/rule_checker.rs
@@ -47,7 +47,7 @@
     pub now: u64,
     pub open: BTreeMap<RequestId, OpenRequest>,
     engines: BTreeMap<EngineId, ListedEngine>,
-    ordering: BTreeMap<KeyId, OrderingQueue>,
+    ordering: BTreeMap<OrderingKeyId, OrderingQueue>,
     arrivals: Vec<u64>,
     retries: Vec<u64>,
 }
@@ -142,7 +142,9 @@
             Action::Reject { request, .. } => {
                 let open = &self.open[request];
                 let is_harmless = match self.class(open).idempotency {
-                    Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. } => true,
+                    Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => {
+                        true
+                    }
                     _ => open.first_possible_run.is_none() && open.in_flight.is_none(),
                 };
                 assert!(is_harmless, "a request that may have run was rejected");
@@ -233,9 +235,9 @@
             Idempotency::Keyed { scope, window } => {
                 assert!(self.now <= sent + micros(window), "the deduplication window is over");
                 match scope {
-                    KeyScope::All => {}
-                    KeyScope::Zone => assert_eq!(first.zone, entry.zone),
-                    KeyScope::Cell => assert_eq!(first.cell, entry.cell),
+                    DeduplicationScope::All => {}
+                    DeduplicationScope::Zone => assert_eq!(first.zone, entry.zone),
+                    DeduplicationScope::Cell => assert_eq!(first.cell, entry.cell),
                 }
             }
         }
@@ -254,7 +256,7 @@
         self.retries.push(self.now);
         let window = micros(budget.window);
         let recent = |times: &[u64]| times.iter().filter(|time| **time + window > self.now).count() as f64;
-        let allowed = budget.free + budget.ratio * recent(&self.arrivals);
+        let allowed = budget.free_retries + budget.ratio * recent(&self.arrivals);
         assert!(recent(&self.retries) <= allowed, "the retry budget is exceeded");
     }
 }
