--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn late_bulk_loads_do_not_displace_requests_in_time() {
+fn late_long_request_is_rejected_for_its_low_value_density() {
     let mut settings = settings();
     settings.classes[LONG].late_weight = 0.6;
     let mut fixture = SchedulerFixture::new(settings, 0);
