--- a/tests/decision_record/defaults.rs
+++ b/tests/decision_record/defaults.rs
@@ -1,6 +1,6 @@
 //! Default settings and traffic of the streams.
 
-use crate::scenario::{ClassLoad, Scenario};
+use crate::scenario::{ClassTraffic, Scenario};
 use reedwalk_scheduler::*;
 use std::time::Duration;
 
@@ -58,20 +58,24 @@
 }
 
 /// Traffic of the three classes. At a factor of 1 the pool is lightly loaded.
-pub fn loads_of_three_classes(factor: f64) -> Vec<ClassLoad> {
+pub fn traffic_of_three_classes(factor: f64) -> Vec<ClassTraffic> {
     vec![
-        ClassLoad { reports_usage: true, ..ClassLoad::new(70.0 * factor, ms(30)) },
-        ClassLoad { has_estimates: true, reports_usage: true, ..ClassLoad::new(20.0 * factor, ms(400)) },
-        ClassLoad { streams: 0.3, disconnects: 0.05, ..ClassLoad::new(6.0 * factor, ms(900)) },
+        ClassTraffic { reports_usage: true, ..ClassTraffic::new(70.0 * factor, ms(30)) },
+        ClassTraffic {
+            has_estimates: true,
+            reports_usage: true,
+            ..ClassTraffic::new(20.0 * factor, ms(400))
+        },
+        ClassTraffic { streams: 0.3, disconnects: 0.05, ..ClassTraffic::new(6.0 * factor, ms(900)) },
     ]
 }
 
-pub fn scenario(name: &'static str, seed: u64, settings: Settings, load: Vec<ClassLoad>) -> Scenario {
+pub fn scenario(name: &'static str, seed: u64, settings: Settings, traffic: Vec<ClassTraffic>) -> Scenario {
     Scenario {
         name,
         seed,
         settings,
-        load,
+        traffic,
         engines: engines(8),
         disturbances: Vec::new(),
         burst_factor: 1.5,
--- a/tests/decision_record/pool.rs
+++ b/tests/decision_record/pool.rs
@@ -1,7 +1,7 @@
 //! A small deterministic pool of engines that runs the attempts sent by the scheduler.
 
 use crate::random::Random;
-use crate::scenario::{ClassLoad, Fault, Scenario};
+use crate::scenario::{ClassTraffic, Fault, Scenario};
 use reedwalk_scheduler::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -138,7 +138,7 @@
         request: RequestId,
         attempt: AttemptNo,
         now: u64,
-        load: &ClassLoad,
+        traffic: &ClassTraffic,
         random: &mut Random,
     ) -> Option<AttemptEnded> {
         let is_due = |running: &RunningAttempt| running.attempt == attempt && running.ends <= now;
@@ -147,7 +147,7 @@
         let engine = &mut self.engines[running.engine.0 as usize];
         engine.threads = (engine.threads - running.threads).max(0.0);
         let is_served = running.outcome == Outcome::Ok;
-        let usage = (is_served && load.reports_usage).then(|| ResourceUsage {
+        let usage = (is_served && traffic.reports_usage).then(|| ResourceUsage {
             work: Duration::from_micros((running.work * (0.8 + 0.4 * random.unit())) as u64),
             memory_mb: running.work / 5000.0 * (0.5 + random.unit()),
         });
@@ -213,12 +213,13 @@
 }
 
 impl Query {
-    pub fn new(arrival: Arrival, load: &ClassLoad, now: u64, random: &mut Random) -> Self {
+    pub fn new(arrival: Arrival, traffic: &ClassTraffic, now: u64, random: &mut Random) -> Self {
         let deadline = now + arrival.time_left.as_micros() as u64;
-        let mean = load.work.as_micros() as f64;
+        let mean = traffic.work.as_micros() as f64;
         // A skewed distribution from a fifth of the mean to several times the mean, mostly short.
         let work = mean * (0.2 + 2.4 * random.unit() * random.unit() * (0.4 + random.unit()));
-        let (has_bad_plan, is_faulty) = (random.chance(load.bad_plans), random.chance(load.faulty_queries));
+        let (has_bad_plan, is_faulty) =
+            (random.chance(traffic.bad_plans), random.chance(traffic.faulty_queries));
         Self { arrival, deadline, work, has_bad_plan, is_faulty, attempts: 0 }
     }
 
--- a/tests/decision_record/scenario.rs
+++ b/tests/decision_record/scenario.rs
@@ -57,7 +57,7 @@
 
 /// The traffic of one class, and how its queries run.
 #[derive(Clone, Debug)]
-pub struct ClassLoad {
+pub struct ClassTraffic {
     pub requests_per_s: f64,
     /// Mean run time of a query on one thread.
     pub work: Duration,
@@ -87,7 +87,7 @@
     pub bound_to_group: f64,
 }
 
-impl ClassLoad {
+impl ClassTraffic {
     pub fn new(requests_per_s: f64, work: Duration) -> Self {
         Self {
             requests_per_s,
@@ -114,7 +114,7 @@
     pub seed: u64,
     pub settings: Settings,
     /// The traffic of each class of the settings.
-    pub load: Vec<ClassLoad>,
+    pub traffic: Vec<ClassTraffic>,
     pub engines: Vec<EngineEntry>,
     /// Disturbances, each with its mean interval.
     pub disturbances: Vec<(Disturbance, Duration)>,
--- a/tests/decision_record/simulation.rs
+++ b/tests/decision_record/simulation.rs
@@ -87,7 +87,8 @@
         };
         let scope = EndpointScope::Cached;
         simulation.events.push(Event::Endpoints { scope, entries: scenario.engines.clone() });
-        (0..scenario.load.len()).for_each(|class| simulation.tasks.add(START_US, Task::NextArrival(class)));
+        (0..scenario.traffic.len())
+            .for_each(|class| simulation.tasks.add(START_US, Task::NextArrival(class)));
         (0..scenario.disturbances.len()).for_each(|number| simulation.plan_disturbance(number));
         simulation
     }
@@ -123,10 +124,10 @@
     }
 
     fn on_next_arrival(&mut self, class: usize, at: u64) {
-        let load = &self.scenario.load[class];
+        let traffic = &self.scenario.traffic[class];
         let is_burst = (at - START_US) / BURST_INTERVAL_US % 2 == 1;
         let factor = if is_burst { self.scenario.burst_factor } else { 1.0 };
-        let mean = Duration::from_secs_f64(1.0 / (load.requests_per_s * factor));
+        let mean = Duration::from_secs_f64(1.0 / (traffic.requests_per_s * factor));
         let next = at + 1 + self.random.uniform_around(mean);
         self.tasks.add(next, Task::NextArrival(class));
         let arrival = self.draw_arrival(class);
@@ -134,20 +135,20 @@
     }
 
     fn draw_arrival(&mut self, class: usize) -> Arrival {
-        let (load, random) = (&self.scenario.load[class], &mut self.random);
+        let (traffic, random) = (&self.scenario.traffic[class], &mut self.random);
         let settings = &self.scenario.settings;
         let mut arrival = Arrival::new(RequestId(0), ClassId(class), settings.classes[class].deadline);
         arrival.tenant = TenantId(random.below(settings.tenants.len() as u64) as usize);
-        let with_key = load.ordering_keys > 0 && random.chance(0.8);
-        arrival.ordering_key = with_key.then(|| OrderingKeyId(random.below(load.ordering_keys)));
-        let with_group = load.table_groups > 0 && random.chance(0.8);
-        arrival.table_group = with_group.then(|| TableGroupId(random.below(load.table_groups)));
-        if load.has_estimates {
-            let work = Duration::from_micros(random.uniform_around(load.work));
+        let with_key = traffic.ordering_keys > 0 && random.chance(0.8);
+        arrival.ordering_key = with_key.then(|| OrderingKeyId(random.below(traffic.ordering_keys)));
+        let with_group = traffic.table_groups > 0 && random.chance(0.8);
+        arrival.table_group = with_group.then(|| TableGroupId(random.below(traffic.table_groups)));
+        if traffic.has_estimates {
+            let work = Duration::from_micros(random.uniform_around(traffic.work));
             arrival.work = random.chance(0.8).then_some(work);
             arrival.memory_mb = random.chance(0.7).then(|| random.below(64) as f64);
         }
-        if random.chance(load.prior_attempts) {
+        if random.chance(traffic.prior_attempts) {
             let age = Duration::from_micros(random.below(1_500_000));
             arrival.prior_attempt = Some(PriorAttempt { group: random.below(3), age });
         }
@@ -161,11 +162,11 @@
 
     /// Adds an arrival, and possibly the disconnection of its client before the deadline.
     fn arrive(&mut self, mut arrival: Arrival) {
-        let load = &self.scenario.load[arrival.class.0];
+        let traffic = &self.scenario.traffic[arrival.class.0];
         arrival.request = RequestId(self.next_request);
         self.next_request += 1;
-        let query = Query::new(arrival.clone(), load, self.now, &mut self.random);
-        if self.random.chance(load.disconnects) {
+        let query = Query::new(arrival.clone(), traffic, self.now, &mut self.random);
+        if self.random.chance(traffic.disconnects) {
             let at = self.now + self.random.below(arrival.time_left.as_micros() as u64);
             self.tasks.add(at, Task::Event(Event::ClientDisconnected(arrival.request)));
         }
@@ -175,8 +176,8 @@
 
     fn on_attempt_ends(&mut self, request: RequestId, attempt: AttemptNo) {
         let Some(query) = self.queries.get(&request) else { return };
-        let load = &self.scenario.load[query.arrival.class.0];
-        let ended = self.pool.end(request, attempt, self.now, load, &mut self.random);
+        let traffic = &self.scenario.traffic[query.arrival.class.0];
+        let ended = self.pool.end(request, attempt, self.now, traffic, &mut self.random);
         self.events.extend(ended.map(Event::Ended));
     }
 
@@ -222,9 +223,9 @@
     fn send(&mut self, request: RequestId, engine: EngineId) {
         let (settings, now) = (&self.scenario.settings, self.now);
         let query = self.queries.get_mut(&request).expect("a request that is sent has arrived");
-        let load = &self.scenario.load[query.arrival.class.0];
+        let traffic = &self.scenario.traffic[query.arrival.class.0];
         let attempt = query.take_attempt();
-        let query_for_attempt = query.query_for_attempt(load.bad_plans_persist, &mut self.random);
+        let query_for_attempt = query.query_for_attempt(traffic.bad_plans_persist, &mut self.random);
         self.pool.start(&query_for_attempt, attempt, engine, settings, now, &mut self.random);
         let running = &self.pool.running[&request];
         self.tasks.add(running.ends, Task::AttemptEnds(request, attempt));
@@ -233,20 +234,20 @@
         if let Some(interval) = settings.engine.progress_interval.filter(|_| is_answering && !is_silent) {
             self.tasks.add(now + interval.as_micros() as u64, Task::Progress(request, attempt));
         }
-        if self.random.chance(load.streams) && !is_silent {
+        if self.random.chance(traffic.streams) && !is_silent {
             let first_row = now + self.random.below(running.ends - now);
             self.tasks.add(first_row, Task::Event(Event::StreamStarted { request, attempt }));
         }
-        if self.random.chance(load.bound_to_group) {
+        if self.random.chance(traffic.bound_to_group) {
             self.tasks.add(now + 300, Task::Event(Event::BoundToGroup(request)));
         }
     }
 
     fn on_rejected(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let Some(query) = self.queries.get(&request) else { return };
-        let load = &self.scenario.load[query.arrival.class.0];
+        let traffic = &self.scenario.traffic[query.arrival.class.0];
         let pause = self.random.uniform_around(retry_after.unwrap_or(Duration::from_millis(400)));
-        if self.random.chance(load.client_retries) {
+        if self.random.chance(traffic.client_retries) {
             let retry = Arrival { is_retry: true, ..query.arrival.clone() };
             self.tasks.add(self.now + pause, Task::ClientRetry(Box::new(retry)));
         }
--- a/tests/decision_record/streams.rs
+++ b/tests/decision_record/streams.rs
@@ -1,7 +1,7 @@
 //! The streams of the record. Each covers different decisions of the scheduler.
 
-use crate::defaults::{engines, loads_of_three_classes, ms, scenario, seconds, settings, three_classes};
-use crate::scenario::{ClassLoad, Disturbance, Fault, Scenario};
+use crate::defaults::{engines, ms, scenario, seconds, settings, three_classes, traffic_of_three_classes};
+use crate::scenario::{ClassTraffic, Disturbance, Fault, Scenario};
 use reedwalk_scheduler::*;
 
 /// Few faults; concurrency limits rise and fall with the bursts.
@@ -22,7 +22,7 @@
         ],
         restored_stats: vec![Some(stats), None],
         load_reports: true,
-        ..scenario("ordinary_traffic", 11, settings, loads_of_three_classes(1.0))
+        ..scenario("ordinary_traffic", 11, settings, traffic_of_three_classes(1.0))
     }
 }
 
@@ -32,9 +32,9 @@
     settings.engine.priorities = true;
     settings.limits.max_attempts = 4;
     settings.rules.retry_budget = Some(RetryBudget { free_retries: 1.0, ratio: 0.01, window: seconds(2) });
-    let mut load = loads_of_three_classes(1.6);
-    load[0].has_estimates = true;
-    load[2].has_estimates = true;
+    let mut traffic = traffic_of_three_classes(1.6);
+    traffic[0].has_estimates = true;
+    traffic[2].has_estimates = true;
     Scenario {
         burst_factor: 3.0,
         other_threads: 10.0,
@@ -47,7 +47,7 @@
             (Disturbance::OwnStall(ms(600)), seconds(9)),
         ],
         duration: seconds(60),
-        ..scenario("overload", 12, settings, load)
+        ..scenario("overload", 12, settings, traffic)
     }
 }
 
@@ -56,8 +56,8 @@
     let mut settings = settings(three_classes());
     settings.limits.max_attempts = 4;
     settings.rules.retry_budget = Some(RetryBudget { free_retries: 4.0, ratio: 0.1, window: seconds(3) });
-    let mut load = loads_of_three_classes(1.0);
-    load[0].faulty_queries = 0.01;
+    let mut traffic = traffic_of_three_classes(1.0);
+    traffic[0].faulty_queries = 0.01;
     Scenario {
         disturbances: vec![
             (Disturbance::EngineFault(Fault::Errors(0.4), seconds(4)), seconds(3)),
@@ -68,7 +68,7 @@
             (Disturbance::EjectionByGossip, seconds(2)),
             (Disturbance::CapacityShare, seconds(12)),
         ],
-        ..scenario("failing_engines", 13, settings, load)
+        ..scenario("failing_engines", 13, settings, traffic)
     }
 }
 
@@ -77,8 +77,8 @@
     let quick = ClassSettings::new(ms(60), ms(1500));
     let mut settings = settings([vec![quick], three_classes()].concat());
     settings.limits.max_attempts = 3;
-    let mut load = vec![ClassLoad { reports_usage: true, ..ClassLoad::new(120.0, ms(12)) }];
-    load.extend(loads_of_three_classes(0.5));
+    let mut traffic = vec![ClassTraffic { reports_usage: true, ..ClassTraffic::new(120.0, ms(12)) }];
+    traffic.extend(traffic_of_three_classes(0.5));
     Scenario {
         disturbances: vec![
             (Disturbance::EngineFault(Fault::Silent, ms(1500)), seconds(3)),
@@ -86,7 +86,7 @@
             (Disturbance::OwnStall(ms(800)), seconds(8)),
             (Disturbance::EjectionByGossip, seconds(4)),
         ],
-        ..scenario("silent_engines", 14, settings, load)
+        ..scenario("silent_engines", 14, settings, traffic)
     }
 }
 
@@ -104,7 +104,7 @@
             (Disturbance::LiveGateways, seconds(12)),
             (Disturbance::CapacityShare, seconds(12)),
         ],
-        ..scenario("slow_starts", 15, settings, loads_of_three_classes(0.8))
+        ..scenario("slow_starts", 15, settings, traffic_of_three_classes(0.8))
     }
 }
 
@@ -115,10 +115,10 @@
     settings.gateways = 48;
     settings.ordinal = 17;
     settings.rules.slow_start_duration = seconds(20);
-    let load = vec![
-        ClassLoad { reports_usage: true, ..ClassLoad::new(60.0, ms(25)) },
-        ClassLoad { reports_usage: true, ..ClassLoad::new(14.0, ms(300)) },
-        ClassLoad::new(4.0, seconds(3)),
+    let traffic = vec![
+        ClassTraffic { reports_usage: true, ..ClassTraffic::new(60.0, ms(25)) },
+        ClassTraffic { reports_usage: true, ..ClassTraffic::new(14.0, ms(300)) },
+        ClassTraffic::new(4.0, seconds(3)),
     ];
     Scenario {
         engines: engines(14),
@@ -134,7 +134,7 @@
             (Disturbance::EngineFault(Fault::Rejects, ms(500)), seconds(3)),
         ],
         duration: seconds(250),
-        ..scenario("many_gateways", 16, settings, load)
+        ..scenario("many_gateways", 16, settings, traffic)
     }
 }
 
@@ -153,11 +153,11 @@
     let mut settings = settings(classes);
     settings.limits.max_attempts = 5;
     settings.engine.progress_interval = Some(ms(80));
-    let load = ClassLoad {
+    let traffic = ClassTraffic {
         prior_attempts: 0.012,
         bound_to_group: 0.3,
         reports_usage: true,
-        ..ClassLoad::new(35.0, ms(60))
+        ..ClassTraffic::new(35.0, ms(60))
     };
     let mut engines = engines(9);
     (engines[7].zone, engines[8].cell) = (None, None);
@@ -172,7 +172,7 @@
             (Disturbance::RemoveAndReturn, seconds(8)),
             (Disturbance::Restart, seconds(10)),
         ],
-        ..scenario("idempotency_keys", 17, settings, vec![load; 4])
+        ..scenario("idempotency_keys", 17, settings, vec![traffic; 4])
     }
 }
 
@@ -194,14 +194,14 @@
     settings.engine.priorities = true;
     settings.engine.grants = true;
     settings.engine.progress_interval = Some(ms(100));
-    let load = vec![
-        ClassLoad { ordering_keys: 12, disconnects: 0.03, ..ClassLoad::new(45.0, ms(35)) },
-        ClassLoad { table_groups: 2, reports_usage: true, ..ClassLoad::new(3.5, seconds(4)) },
-        ClassLoad {
+    let traffic = vec![
+        ClassTraffic { ordering_keys: 12, disconnects: 0.03, ..ClassTraffic::new(45.0, ms(35)) },
+        ClassTraffic { table_groups: 2, reports_usage: true, ..ClassTraffic::new(3.5, seconds(4)) },
+        ClassTraffic {
             table_groups: 4,
             reports_usage: true,
             has_estimates: true,
-            ..ClassLoad::new(40.0, ms(80))
+            ..ClassTraffic::new(40.0, ms(80))
         },
     ];
     Scenario {
@@ -211,7 +211,7 @@
             (Disturbance::EngineFault(Fault::Silent, seconds(1)), seconds(7)),
             (Disturbance::EngineFault(Fault::Slow(3.0), seconds(3)), seconds(9)),
         ],
-        ..scenario("ordering_and_loads", 18, settings, load)
+        ..scenario("ordering_and_loads", 18, settings, traffic)
     }
 }
 
@@ -222,12 +222,12 @@
     settings.limits.max_attempts = 6;
     settings.engine.progress_interval = Some(ms(50));
     settings.engine.grants = true;
-    let load = |persist| ClassLoad {
+    let traffic = |persist| ClassTraffic {
         bad_plans: 0.06,
         bad_plans_persist: persist,
         reports_usage: persist == 0.0,
         has_estimates: persist == 0.0,
-        ..ClassLoad::new(35.0, ms(140))
+        ..ClassTraffic::new(35.0, ms(140))
     };
     Scenario {
         disturbances: vec![
@@ -235,7 +235,7 @@
             (Disturbance::EngineFault(Fault::Slow(5.0), seconds(2)), seconds(5)),
             (Disturbance::OwnStall(ms(700)), seconds(6)),
         ],
-        ..scenario("bad_plans", 19, settings, vec![load(0.0), load(0.55), load(0.6)])
+        ..scenario("bad_plans", 19, settings, vec![traffic(0.0), traffic(0.55), traffic(0.6)])
     }
 }
 
@@ -257,7 +257,7 @@
             (Disturbance::RestartReportedByGossip, seconds(9)),
             (Disturbance::UnknownIds, seconds(3)),
         ],
-        ..scenario("endpoint_list_changes", 20, settings, loads_of_three_classes(0.9))
+        ..scenario("endpoint_list_changes", 20, settings, traffic_of_three_classes(0.9))
     }
 }
 
@@ -266,7 +266,7 @@
     let mut settings = settings([three_classes(), three_classes()].concat());
     settings.gateways = 8;
     settings.engine.idle_timeout = Some(ms(900));
-    let load = [loads_of_three_classes(0.12), loads_of_three_classes(0.08)].concat();
+    let traffic = [traffic_of_three_classes(0.12), traffic_of_three_classes(0.08)].concat();
     Scenario {
         engines: engines(24),
         other_threads: 7.0,
@@ -280,7 +280,7 @@
             (Disturbance::Restart, seconds(4)),
         ],
         duration: seconds(280),
-        ..scenario("sparse_traffic", 21, settings, load)
+        ..scenario("sparse_traffic", 21, settings, traffic)
     }
 }
 
@@ -291,9 +291,9 @@
     settings.limits.max_retry_after = None;
     settings.engine.priorities = true;
     settings.engine.progress_interval = Some(ms(90));
-    let mut load = loads_of_three_classes(1.2);
-    load.iter_mut().for_each(|load| load.disconnects = 0.08);
-    load[1].bad_plans = 0.1;
+    let mut traffic = traffic_of_three_classes(1.2);
+    traffic.iter_mut().for_each(|traffic| traffic.disconnects = 0.08);
+    traffic[1].bad_plans = 0.1;
     Scenario {
         burst_factor: 2.5,
         disturbances: vec![
@@ -302,7 +302,7 @@
             (Disturbance::Restart, seconds(15)),
             (Disturbance::OwnStall(ms(500)), seconds(10)),
         ],
-        ..scenario("no_cancellation", 22, settings, load)
+        ..scenario("no_cancellation", 22, settings, traffic)
     }
 }
 
@@ -311,7 +311,7 @@
     let class = ClassSettings { late_weight: 1.0, ..ClassSettings::new(ms(150), seconds(2)) };
     let mut settings = settings(vec![class]);
     settings.gateways = 48;
-    let load = ClassLoad { faulty_queries: 0.94, ..ClassLoad::new(24.0, ms(120)) };
+    let traffic = ClassTraffic { faulty_queries: 0.94, ..ClassTraffic::new(24.0, ms(120)) };
     Scenario {
         other_threads: 9.0,
         load_reports: true,
@@ -320,6 +320,6 @@
             (Disturbance::ListReloaded, seconds(9)),
         ],
         duration: seconds(160),
-        ..scenario("faulty_requests", 23, settings, vec![load])
+        ..scenario("faulty_requests", 23, settings, vec![traffic])
     }
 }
