--- a/tests/dispatch_order.rs
+++ b/tests/dispatch_order.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting requests are sent.
+//! The order in which waiting requests are sent to engines.
 
 mod common;
 
@@ -17,18 +17,18 @@
 #[test]
 fn work_estimate_moves_the_target_before_outcomes() {
     let mut fixture = SchedulerFixture::new(settings(), 4);
-    let (mut short, mut lengthy) = (fixture.new_arrival(QUICK), fixture.new_arrival(QUICK));
+    let (mut short, mut long_running) = (fixture.new_arrival(QUICK), fixture.new_arrival(QUICK));
     short.work = Some(ms(10));
-    lengthy.work = Some(ms(200));
-    let first = lengthy.request;
-    let actions = fixture.step(&[Event::Arrival(short), Event::Arrival(lengthy)]);
+    long_running.work = Some(ms(200));
+    let first = long_running.request;
+    let actions = fixture.step(&[Event::Arrival(short), Event::Arrival(long_running)]);
     assert_eq!(sends(&actions)[0].0, first);
 }
 
 #[test]
 fn late_queries_are_sent_first_by_value_density() {
     let mut settings = settings();
-    // Late answers count in full, so that neither class is rejected for being late.
+    // A late answer has full value, so neither class is rejected for being late.
     for class in &mut settings.classes {
         class.late_weight = 1.0;
     }
