--- a/gateway/src/broker/idempotency.rs
+++ b/gateway/src/broker/idempotency.rs
@@ -10,7 +10,8 @@
 use reedwalk_scheduler::{Deduplication, EngineEntry, KeyScope, RequestId};
 use reedwalk_settings::Deployment;
 use reedwalk_shared_store::idempotency::{
-    ClaimEnd, ClaimHolder, KeyedRequest, RequestEnd, RequestStep, Scope, SendDecision, SendRecord,
+    ClaimEnd, ClaimHolder, DeduplicationScope, KeyedRequest, RequestEnd, RequestStep, SendDecision,
+    SendRecord,
 };
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -86,7 +87,8 @@
         };
         let class = *class;
         let answer_deadline = now + self.store.options().wait;
-        let scope = if class.scope == KeyScope::All { Scope::All } else { Scope::Group };
+        let scope =
+            if class.scope == KeyScope::All { DeduplicationScope::All } else { DeduplicationScope::Group };
         let mut state =
             KeyedRequest::new(scope, request.is_retry, class.window, self.store.options().clocks_differ);
         let is_shared = idempotency_key.len() <= MAX_SHARED_KEY_BYTES;
--- a/gateway/src/quotas.rs
+++ b/gateway/src/quotas.rs
@@ -5,7 +5,7 @@
 use crate::shared_store::client::SharedStoreClient;
 use crate::unix_clock::unix_ms;
 use reedwalk_scheduler::ClassId;
-use reedwalk_shared_store::quota_lease::{EVEN_SHARE, QuotaLease, STORE_DOWN_SHARE, SpendResult};
+use reedwalk_shared_store::quota_lease::{ChargeResult, EVEN_SHARE, QuotaLease, STORE_DOWN_SHARE};
 use std::collections::HashMap;
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -188,15 +188,15 @@
             let window = account.window();
             let spent = account.lease().charge(request.amount, usable && now < deadline, now.into_std());
             match spent {
-                SpendResult::Granted => {
+                ChargeResult::Granted => {
                     self.lease_ahead(request, account);
                     return QuotaDecision::Admitted(Charge {
                         request: request.clone(),
                         window: window.number,
                     });
                 }
-                SpendResult::Denied => return QuotaDecision::Exhausted(window.left),
-                SpendResult::Lease(wanted) => {
+                ChargeResult::Denied => return QuotaDecision::Exhausted(window.left),
+                ChargeResult::Lease(wanted) => {
                     usable = self.lease(&request.team, account, request.amount, wanted, deadline).await;
                 }
             }
@@ -216,7 +216,7 @@
         let Some(store) = &self.store else { return false };
         let Ok(_turn) = timeout_at(deadline, account.leasing.lock()).await else { return false };
         let window = account.window().number;
-        if account.lease().covers(amount) {
+        if account.lease().has_available(amount) {
             return true;
         }
         if !store.is_usable(Instant::now(), deadline) {
@@ -233,7 +233,7 @@
     /// Leases units before they are needed, so that requests find them here.
     fn lease_ahead(self: &Arc<Self>, request: &QuotaRequest, account: &Account) {
         let Some(store) = &self.store else { return };
-        let Some(wanted) = account.lease().wanted_ahead(Instant::now().into_std()) else { return };
+        let Some(wanted) = account.lease().prefetch_amount(Instant::now().into_std()) else { return };
         if account.leasing.try_lock().is_err() {
             return;
         }
--- a/gateway/src/shared_store/background.rs
+++ b/gateway/src/shared_store/background.rs
@@ -61,7 +61,7 @@
 
     /// Reads back the last heartbeat and writes the next one.
     async fn write_heartbeat(&self, now: Instant) {
-        let count = self.state().freshness.next_count();
+        let count = self.state().freshness.next_counter();
         let key = self.heartbeat_key();
         let mut pipe = Pipeline::new();
         pipe.atomic().get(&key);
--- a/gateway/src/shared_store/connection.rs
+++ b/gateway/src/shared_store/connection.rs
@@ -2,7 +2,7 @@
 
 use redis::aio::MultiplexedConnection;
 use redis::{Client, FromRedisValue, RedisError, ScriptInvocation};
-use reedwalk_shared_store::circuit_breaker::{CircuitBreaker, Fault, Health};
+use reedwalk_shared_store::circuit_breaker::{CircuitBreaker, FailureKind, Health};
 use slog::{Logger, info, warn};
 use std::future::Future;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -78,8 +78,8 @@
                 self.log_health(changed, "answers");
                 return Some(answer);
             }
-            Ok(Err(error)) => (Fault::Error, error.to_string()),
-            Err(_) => (Fault::Timeout, "no answer in time".to_owned()),
+            Ok(Err(error)) => (FailureKind::Error, error.to_string()),
+            Err(_) => (FailureKind::Timeout, "no answer in time".to_owned()),
         };
         // If the lock is held, another call is reconnecting already.
         if let Ok(mut open) = self.open.try_lock() {
--- a/shared-store/src/circuit_breaker.rs
+++ b/shared-store/src/circuit_breaker.rs
@@ -1,110 +1,110 @@
-//! A circuit breaker for the store. After several failures in a row no calls are made for a pause, with exponential
-//! backoff; then one trial call is allowed, and its result decides. Each pause has jitter, so that the gateways do not
-//! return together.
+//! Circuit breaker for calls to the shared store. After an error or several consecutive timeouts the breaker opens and
+//! rejects calls for a backoff period that grows exponentially. It then allows one trial call: a success closes the
+//! breaker, a failure starts the next backoff. Jitter keeps the gateways from calling a recovering store all at once.
 
 use std::time::{Duration, Instant};
 
-/// Timeouts in a row after which no more calls are made: one or two may be a slow moment of the store. An error opens the
-/// breaker at once.
-const MAX_TIMEOUTS: u32 = 3;
-/// The first pause, before jitter; it doubles with each failed trial call.
-const MIN_PAUSE: Duration = Duration::from_millis(200);
-/// The longest pause, before jitter: a store that has recovered is used again after some seconds.
-const MAX_PAUSE: Duration = Duration::from_secs(5);
-/// A pause is multiplied by a random number from this to one more.
-const MIN_JITTER: f64 = 0.5;
+/// Consecutive timeouts that open the breaker. One or two may be a short stall of the store; an error opens the breaker
+/// at once.
+const TIMEOUT_THRESHOLD: u32 = 3;
+/// First backoff, before jitter. It doubles with each failed trial call.
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
+/// Longest backoff, before jitter. It limits how long a store that has recovered stays unused.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// Lowest jitter factor. A backoff is multiplied by a random factor between this and one more.
+const MIN_JITTER_FACTOR: f64 = 0.5;
 
-/// The health of the store.
+/// Health of the store, as seen by this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It answers in time.
+    /// Calls succeed within their deadline.
     Healthy,
-    /// It does not answer in time.
+    /// Calls time out.
     Slow,
-    /// It can't be reached, or answers with errors.
+    /// The store can't be reached, or returns errors.
     Unavailable,
 }
 
-/// Why a call failed.
+/// How a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// There was no answer in time.
+pub enum FailureKind {
+    /// The store did not reply within the deadline.
     Timeout,
-    /// The connection broke, or the answer was an error or unreadable.
+    /// The connection broke, or the reply was an error or could not be parsed.
     Error,
 }
 
-/// Decides whether calls to the store are made.
+/// Decides whether the store may be called.
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
     health: Health,
-    failures_in_a_row: u32,
-    /// The next pause, before jitter.
-    next_pause: Duration,
-    /// The end of the pause, once the breaker is open.
-    paused_until: Option<Instant>,
-    /// The deadline of the trial call, if one is being made.
+    consecutive_failures: u32,
+    /// Length of the next backoff, before jitter.
+    next_backoff: Duration,
+    /// End of the current backoff; `None` while the breaker is closed.
+    open_until: Option<Instant>,
+    /// Deadline of the trial call in progress, if any.
     trial_deadline: Option<Instant>,
     random_state: u64,
 }
 
 impl CircuitBreaker {
-    /// A closed breaker; `seed` differs between gateways, and so do their pauses.
+    /// Creates a closed breaker. `seed` must differ between gateways, so that their jitter differs.
     pub fn new(seed: u64) -> Self {
         Self {
             health: Health::Healthy,
-            failures_in_a_row: 0,
-            next_pause: MIN_PAUSE,
-            paused_until: None,
+            consecutive_failures: 0,
+            next_backoff: MIN_BACKOFF,
+            open_until: None,
             trial_deadline: None,
             random_state: seed | 1,
         }
     }
 
-    /// The health of the store.
+    /// Returns the current health of the store.
     pub fn health(&self) -> Health {
         self.health
     }
 
-    /// Whether a call may be made now. After a pause the first one is a trial: no other is allowed until it has ended or
-    /// its `deadline` has passed.
+    /// Returns whether a call may be made now. The first call after a backoff is the trial call: no other call is
+    /// allowed until it ends or its `deadline` passes.
     pub fn allows_call(&mut self, now: Instant, deadline: Instant) -> bool {
-        let Some(paused_until) = self.paused_until else { return true };
+        let Some(open_until) = self.open_until else { return true };
         let is_trial_running = self.trial_deadline.is_some_and(|deadline| now < deadline);
-        if now < paused_until || is_trial_running {
+        if now < open_until || is_trial_running {
             return false;
         }
         self.trial_deadline = Some(deadline);
         true
     }
 
-    /// A call succeeded. Returns the health, if that has changed.
+    /// Records a successful call and closes the breaker. Returns the new health if it changed.
     pub fn on_success(&mut self) -> Option<Health> {
-        self.failures_in_a_row = 0;
-        self.next_pause = MIN_PAUSE;
-        self.paused_until = None;
+        self.consecutive_failures = 0;
+        self.next_backoff = MIN_BACKOFF;
+        self.open_until = None;
         self.trial_deadline = None;
         self.set_health(Health::Healthy)
     }
 
-    /// A call failed. Returns the health, if that has changed.
-    pub fn on_failure(&mut self, fault: Fault, now: Instant) -> Option<Health> {
-        let is_open = self.paused_until.is_some();
+    /// Records a failed call, which may open the breaker. Returns the new health if it changed.
+    pub fn on_failure(&mut self, failure: FailureKind, now: Instant) -> Option<Health> {
+        let is_open = self.open_until.is_some();
         if is_open && self.trial_deadline.is_none() {
-            // A call from before the pause: it shows nothing new.
+            // The call was made before the breaker opened, so it says nothing about the current state of the store.
             return None;
         }
-        self.failures_in_a_row += 1;
-        if !is_open && fault == Fault::Timeout && self.failures_in_a_row < MAX_TIMEOUTS {
+        self.consecutive_failures += 1;
+        if !is_open && failure == FailureKind::Timeout && self.consecutive_failures < TIMEOUT_THRESHOLD {
             return None;
         }
-        let jitter = MIN_JITTER + self.random();
-        self.paused_until = Some(now + self.next_pause.mul_f64(jitter));
-        self.next_pause = (self.next_pause * 2).min(MAX_PAUSE);
+        let jitter = MIN_JITTER_FACTOR + self.random();
+        self.open_until = Some(now + self.next_backoff.mul_f64(jitter));
+        self.next_backoff = (self.next_backoff * 2).min(MAX_BACKOFF);
         self.trial_deadline = None;
-        self.set_health(match fault {
-            Fault::Timeout => Health::Slow,
-            Fault::Error => Health::Unavailable,
+        self.set_health(match failure {
+            FailureKind::Timeout => Health::Slow,
+            FailureKind::Error => Health::Unavailable,
         })
     }
 
@@ -113,7 +113,7 @@
         (before != health).then_some(health)
     }
 
-    /// A random number from 0 to 1 (xorshift).
+    /// Returns a random number in [0, 1) from a xorshift generator.
     fn random(&mut self) -> f64 {
         self.random_state ^= self.random_state << 13;
         self.random_state ^= self.random_state >> 7;
--- a/shared-store/src/freshness.rs
+++ b/shared-store/src/freshness.rs
@@ -1,75 +1,77 @@
-//! Whether the store has lost writes. Each gateway writes a counter of its own there, its heartbeat, and reads it back
-//! with every call. A counter that is lower than one that the store has confirmed, or missing, shows that writes were
-//! lost: the store was restored from an old copy, or replaced by another one.
+//! Detection of lost writes in the shared store. Each gateway writes its own counter, the heartbeat, and reads it back
+//! with every claim and heartbeat call. If the counter is missing or lower than a value that the store has confirmed,
+//! the store has lost writes: it was restored from an old copy, or replaced by another instance.
 
 use std::time::{Duration, Instant};
 
-/// Facts that a lost write could have changed are not relied on for this many windows after writes were lost, or after
-/// the start, before which nothing is known: by then they have expired. The quarter allows for clocks that drift.
+/// Number of windows during which the store is not trusted after writes were lost, or after the start of the gateway,
+/// which can't know of earlier losses. Stages that a lost write left outdated have expired by then; the extra
+/// quarter allows for clock drift.
 const DISTRUST_WINDOWS: f64 = 1.25;
 
-/// How often the counter is written: three times within [`MAX_HEARTBEAT_GAP`], so that one lost call causes no doubt.
+/// Interval between heartbeat writes: three in [`MAX_HEARTBEAT_GAP`], so that one lost call causes no distrust.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// A gateway without a confirmed counter for this long can't detect what was lost meanwhile: only losses that go back
-/// further are sure to be detected.
+/// Longest time without a confirmed heartbeat after which the store is still trusted. Lost writes are certain to be
+/// detected only if the store went back by more than this.
 pub const MAX_HEARTBEAT_GAP: Duration = Duration::from_millis(300);
 
-/// One gateway's counter, and whether the store can be relied on.
+/// The heartbeat counter of one gateway, and whether the store can be trusted.
 #[derive(Clone, Debug)]
 pub struct FreshnessCheck {
-    /// The highest counter that the store has confirmed.
-    confirmed: u64,
-    /// When the last confirmed call was made.
+    /// Highest counter that the store has confirmed.
+    confirmed_counter: u64,
+    /// Time at which the last confirmed write was sent.
     confirmed_at: Instant,
-    /// The counter that was written last.
-    last_count: u64,
-    /// How long the store is distrusted after each doubt.
+    /// Counter that was written last, confirmed or not.
+    last_counter: u64,
+    /// How long the store is not trusted after writes were lost, or may have been.
     distrust_duration: Duration,
     distrusted_until: Instant,
 }
 
 impl FreshnessCheck {
-    /// A gateway that starts now; facts in the store expire after this window.
+    /// Creates the check of a gateway that starts at `now`. Stages that say that nothing was sent expire after
+    /// `window`.
     pub fn new(window: Duration, now: Instant) -> Self {
         let distrust_duration = window.mul_f64(DISTRUST_WINDOWS);
         Self {
-            confirmed: 0,
+            confirmed_counter: 0,
             confirmed_at: now,
-            last_count: 0,
+            last_counter: 0,
             distrust_duration,
             distrusted_until: now + distrust_duration,
         }
     }
 
-    /// The value to write next.
-    pub fn next_count(&mut self) -> u64 {
-        self.last_count += 1;
-        self.last_count
+    /// Increments the counter and returns the value to write.
+    pub fn next_counter(&mut self) -> u64 {
+        self.last_counter += 1;
+        self.last_counter
     }
 
-    /// The store has confirmed that it wrote this value; the call was made at `called_at`.
-    pub fn on_confirmed(&mut self, count: u64, called_at: Instant) {
-        self.confirmed = self.confirmed.max(count);
+    /// Records that the store has confirmed the write of this counter. The call was made at `called_at`.
+    pub fn on_confirmed(&mut self, counter: u64, called_at: Instant) {
+        self.confirmed_counter = self.confirmed_counter.max(counter);
         self.confirmed_at = self.confirmed_at.max(called_at);
     }
 
-    /// Takes in the value that was read from the store; returns whether writes were lost since the last time, or it is not
-    /// known whether they were.
-    pub fn on_read(&mut self, count: Option<u64>, now: Instant) -> bool {
-        let has_lost_writes = count.unwrap_or(0) < self.confirmed;
+    /// Checks the counter that was read from the store. Returns whether writes were lost since the last read, or may
+    /// have been lost.
+    pub fn on_read(&mut self, counter: Option<u64>, now: Instant) -> bool {
+        let has_lost_writes = counter.unwrap_or(0) < self.confirmed_counter;
         if has_lost_writes {
-            // From here on the store as it is now is the reference.
-            self.confirmed = 0;
+            // Later reads are compared with the current state of the store.
+            self.confirmed_counter = 0;
         }
         let gap = now.saturating_duration_since(self.confirmed_at);
-        let is_doubtful = has_lost_writes || gap > MAX_HEARTBEAT_GAP;
-        if is_doubtful {
+        let may_have_lost_writes = has_lost_writes || gap > MAX_HEARTBEAT_GAP;
+        if may_have_lost_writes {
             self.distrusted_until = now + self.distrust_duration;
         }
-        is_doubtful
+        may_have_lost_writes
     }
 
-    /// Whether a fact that something never ran may be relied on.
+    /// Returns whether a stored stage that says a request never ran may be trusted.
     pub fn is_trusted(&self, now: Instant) -> bool {
         now >= self.distrusted_until
     }
--- a/shared-store/src/idempotency.rs
+++ b/shared-store/src/idempotency.rs
@@ -1,34 +1,36 @@
-//! The protocol by which gateways share idempotency keys in the store.
+//! Protocol by which gateways coordinate idempotency keys through the shared store.
 //!
-//! A gateway claims a key under the name of a claim that no other has. Before it sends to engines that do not deduplicate
-//! together with those of another group, it records there where it sends. The store accepts that write only from the
-//! holder of the key: a gateway that was suspended while another took the key over can't send any more, whatever its clock
-//! says. A lease only decides how soon other gateways can claim the key. Where the store can't be reached, the rules of the class alone hold, and
-//! nothing is sent beyond them.
+//! A gateway claims a key as a unique [`ClaimHolder`], which serves as the fencing token of the claim. If engines
+//! deduplicate only within a group, the gateway records the group in the store before it sends an attempt. The store
+//! accepts that write only from the current holder of the key, so a gateway that was suspended while another one took
+//! over the key can't send any more, whatever its clock says. The lease of a claim decides only how soon other gateways
+//! can claim the key, never whether a send is safe. While the store can't be reached, only the rules of the class
+//! apply, and nothing is sent beyond them.
 //!
-//! A store may return old data, so what others act on without further evidence must never have been different: a group
-//! that was recorded stays the key's, also if nothing ran there, and a stored answer stays. Only the fact that nothing was
-//! sent yet can become wrong; it is relied on only while the store is known to have lost no writes.
+//! The store may return old data. What gateways act on without further checks must therefore never change once written:
+//! a key stays bound to its recorded group even if nothing ran there, and a stored answer is never replaced. Only a
+//! stage that says that nothing was sent can become outdated; it is trusted only while the store is known to have lost
+//! no writes.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::time::Duration;
 
-/// A claim expires after this time without renewal; its holder renews it three times as often. It decides only how soon
-/// others can claim the key, never whether a send is safe.
+/// Time after which a claim that is not renewed expires. Holders renew their claims three times as often. The lease
+/// decides only how soon others can claim the key, never whether a send is safe.
 pub const CLAIM_LEASE: Duration = Duration::from_secs(1);
-/// The shortest Retry-After of a request whose key another gateway holds: shorter, clients would only poll.
+/// Shortest retry delay for a request whose key another gateway holds: shorter ones would only make clients poll.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// The longest Retry-After of such a request: a claim that is not renewed has expired by then ([`CLAIM_LEASE`]).
+/// Longest retry delay for such a request. A claim that is not renewed has expired by then ([`CLAIM_LEASE`]).
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The name of one claim, which is never used twice and so serves as its fencing token: the gateway's process and a number
-/// of its own.
+/// Identifies the holder of a key by its claim: the gateway process and a claim number in that process. It is never
+/// reused, so it serves as the fencing token of the claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ClaimHolder {
-    /// The process, by a random number of its start.
+    /// Random number that the process generated at its start.
     pub process: u64,
-    /// The number of the claim in that process.
+    /// Sequence number of the claim in that process.
     pub claim: u64,
 }
 
@@ -38,41 +40,41 @@
     }
 }
 
-/// Which engines deduplicate together.
+/// Set of engines that deduplicate a key together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
-    /// All of them.
+pub enum DeduplicationScope {
+    /// All engines.
     All,
-    /// Only those of one group: a zone or a cell.
+    /// Only the engines of one group, which is a zone or a cell.
     Group,
 }
 
-/// Where the attempts of a request are sent, and when the first was, by its sender's Unix clock.
+/// The group that the attempts of a request are sent to, and the time of the first attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SendRecord {
-    /// The deduplication group; 0 where all engines form one.
+    /// Deduplication group; 0 if all engines deduplicate together.
     pub group: u64,
-    /// The time of the first attempt, in milliseconds of the sender's Unix clock.
+    /// Time of the first attempt in milliseconds, by the sender's Unix clock.
     pub at_ms: u64,
 }
 
-/// How far the request of a key has come, as the store has it.
+/// Progress of the request of a key, as recorded in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Claimed, and nothing was sent.
+    /// The key is claimed, and nothing was sent.
     Claimed,
-    /// Claimed by a gateway that could not know whether something had been sent before.
+    /// The key was claimed by a gateway that could not know whether an attempt had been sent before.
     Unknown,
-    /// Bound to a group, and something may have run there.
+    /// The request is bound to a group and may have run there.
     Sent,
-    /// Served; its answer is stored.
+    /// The request was served, and its answer is stored.
     Done,
-    /// Ended, and surely never ran.
+    /// The request has ended and certainly never ran.
     NeverRan,
 }
 
 impl Stage {
-    /// The letter that stands for it in the store. Stored; it must not change.
+    /// Returns the letter that encodes the stage in the store. These letters are stored and must not change.
     pub fn code(self) -> &'static str {
         match self {
             Self::Claimed => "c",
@@ -83,114 +85,115 @@
         }
     }
 
-    /// The stage of a letter.
+    /// Parses the letter of a stage.
     pub fn from_code(code: &[u8]) -> Option<Self> {
         let all = [Self::Claimed, Self::Unknown, Self::Sent, Self::Done, Self::NeverRan];
         all.into_iter().find(|stage| stage.code().as_bytes() == code)
     }
 }
 
-/// What the store held when the key was claimed.
+/// State of a key in the store, as found by a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoredState {
-    /// Nothing.
+    /// The store has no entry for the key.
     Absent,
-    /// A stage without a value.
+    /// The entry has a stage and no value.
     Stage(Stage),
-    /// Something may have run.
+    /// An attempt was sent and may have run.
     Sent(SendRecord),
-    /// It was served, with this answer.
+    /// The request was served with this encoded answer.
     Done(Vec<u8>),
-    /// Something that can't be read.
+    /// The entry can't be decoded.
     Unreadable,
 }
 
-/// The store's answer to a claim.
+/// Reply of the store to a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimReply {
-    /// The key is held by this claim now.
+    /// Whether this claim now holds the key.
     pub is_claimed: bool,
-    /// How much longer another claim holds it, if one does.
+    /// Remaining lease of another claim, if one holds the key.
     pub lease_left: Duration,
-    /// What the store held.
+    /// State of the key before the claim.
     pub stored: StoredState,
 }
 
-/// An attempt of an earlier request with the same key, by another gateway or by this one before its restart.
+/// Attempt of an earlier request with the same key, sent by another gateway or by this one before a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EarlierAttempt {
-    /// The group that it was sent to.
+    /// Deduplication group that the attempt was sent to.
     pub group: u64,
-    /// How long ago it was sent, at most.
+    /// Upper bound of the time since the attempt was sent.
     pub age: Duration,
 }
 
-/// What the request does next.
+/// Next step of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestStep {
     /// Claim the key in the store.
     Claim,
-    /// Proceed, bound to the group of an earlier attempt.
+    /// Send attempts; if there was an earlier attempt, only to its group.
     Proceed(Option<EarlierAttempt>),
     /// Respond with this stored answer.
     Respond(Vec<u8>),
-    /// Reject the request: a retry after this time is harmless.
+    /// Reject the request. A retry after this delay is safe.
     Reject(Duration),
-    /// Fail the request: whether it had an effect is not known.
+    /// Fail the request. Whether it had an effect is unknown.
     Fail,
 }
 
-/// Whether an attempt that the scheduler wants may be sent.
+/// Whether an attempt that the scheduler has chosen may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendDecision {
-    /// It is sent now.
+    /// Send the attempt now.
     SendNow,
-    /// This is recorded first, as the key's holder.
+    /// Write this record to the store first, as the holder of the key.
     RecordFirst(SendRecord),
-    /// It is not sent.
+    /// Do not send the attempt.
     DoNotSend,
 }
 
-/// What is written when the request has ended, as the key's holder.
+/// What the holder of a key writes to the store when its request ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEnd {
-    /// Its answer, for a repeat of the request.
+    /// The encoded answer, for retries of the request.
     Done(Vec<u8>),
-    /// Others may claim the key at once, and find this stage.
+    /// Release the key and set this stage.
     ReleaseWith(Stage),
-    /// Others may claim the key at once, and find what is stored.
+    /// Release the key and keep the stored stage.
     Release,
 }
 
-/// How a request ended.
+/// Result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// Served, with its answer if that is small enough to be stored.
+    /// The request was served, with its encoded answer if that is small enough to be stored.
     Served(Option<Vec<u8>>),
-    /// Rejected, failed, or its client disconnected.
+    /// The request was rejected or failed, or its client disconnected.
     Unserved,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Without a claim: the rules of the class alone hold.
+    /// No claim is held; only the rules of the class apply.
     WithoutStore,
-    /// The store was asked for the claim.
+    /// The claim was sent to the store.
     Claiming,
-    /// The key is held, with the record in the store. `in_doubt`: it is not known whether something was sent before.
+    /// The key is held. `recorded` is the send record in the store; `in_doubt` if an earlier request with the key may
+    /// have sent an attempt.
     Held { in_doubt: bool, recorded: Option<SendRecord> },
-    /// Nothing more may be sent.
+    /// No more attempts may be sent.
     Ended,
 }
 
-/// One request with an idempotency key, from its arrival to its end.
+/// State machine of one request with an idempotency key, from its arrival to its end.
 #[derive(Clone, Debug)]
 pub struct KeyedRequest {
-    scope: Scope,
+    scope: DeduplicationScope,
     is_retry: bool,
-    /// How long engines deduplicate a key, from the send.
+    /// How long engines deduplicate a key after an attempt is sent.
     window: Duration,
-    /// By how much the clocks of gateways may differ.
+    /// Largest difference allowed between the clocks of two gateways.
     max_clock_skew: Duration,
     phase: Phase,
     in_flight: u32,
@@ -198,8 +201,13 @@
 }
 
 impl KeyedRequest {
-    /// A request that has just arrived; `is_retry` if its client marks it as a retry.
-    pub fn new(scope: Scope, is_retry: bool, window: Duration, max_clock_skew: Duration) -> Self {
+    /// Creates the state of a request that has just arrived. `is_retry` is true if its client marks it as a retry.
+    pub fn new(
+        scope: DeduplicationScope,
+        is_retry: bool,
+        window: Duration,
+        max_clock_skew: Duration,
+    ) -> Self {
         Self {
             scope,
             is_retry,
@@ -211,26 +219,27 @@
         }
     }
 
-    /// What the request does first, depending on whether the store can be called.
-    pub fn on_arrival(&mut self, store_usable: bool) -> RequestStep {
-        if store_usable {
+    /// Returns the first step of the request, which depends on whether the store may be called.
+    pub fn on_arrival(&mut self, is_store_usable: bool) -> RequestStep {
+        if is_store_usable {
             self.phase = Phase::Claiming;
             return RequestStep::Claim;
         }
-        if self.scope == Scope::Group && self.is_retry {
-            // The earlier request may have been sent to any group.
+        if self.scope == DeduplicationScope::Group && self.is_retry {
+            // The earlier request may have been sent to another group.
             return self.reject(MAX_RETRY_AFTER);
         }
         RequestStep::Proceed(None)
     }
 
-    fn reject(&mut self, after: Duration) -> RequestStep {
+    fn reject(&mut self, retry_delay: Duration) -> RequestStep {
         self.phase = Phase::Ended;
-        RequestStep::Reject(after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
+        RequestStep::Reject(retry_delay.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 
-    /// Takes in the store's answer to the claim, `None` where there was none in time. `is_trusted` says whether the fact
-    /// that nothing ran may be relied on. Returns what the request does, and what is to be written.
+    /// Handles the store's reply to the claim; `None` if there was no reply in time. `is_trusted` tells whether a
+    /// stored stage that says that nothing ran may be trusted. Returns the next step, and the write that ends the
+    /// claim, if any.
     pub fn on_claim_reply(
         &mut self,
         reply: Option<ClaimReply>,
@@ -238,20 +247,20 @@
         now_ms: u64,
     ) -> (RequestStep, Option<ClaimEnd>) {
         let Some(ClaimReply { is_claimed, lease_left, stored }) = reply else {
-            // The claim may have succeeded all the same. Then others will find one under which nothing was sent.
+            // The claim may have succeeded all the same. Others then find a claim under which nothing was sent.
             return match self.scope {
-                Scope::All => {
+                DeduplicationScope::All => {
                     self.phase = Phase::WithoutStore;
                     (RequestStep::Proceed(None), None)
                 }
-                Scope::Group => (self.reject(MIN_RETRY_AFTER), None),
+                DeduplicationScope::Group => (self.reject(MIN_RETRY_AFTER), None),
             };
         };
         if let StoredState::Done(answer) = stored {
             self.phase = Phase::Ended;
             return (RequestStep::Respond(answer), None);
         }
-        if !is_claimed && stored == StoredState::Unreadable && self.scope == Scope::All {
+        if !is_claimed && stored == StoredState::Unreadable && self.scope == DeduplicationScope::All {
             self.phase = Phase::WithoutStore;
             return (RequestStep::Proceed(None), None);
         }
@@ -260,43 +269,43 @@
         }
         match stored {
             StoredState::Sent(sent) => {
-                let step = self.adopt(sent, now_ms);
-                // The key of a request that does not proceed is released.
+                let step = self.proceed_in_group(sent, now_ms);
+                // A request that does not proceed releases its key.
                 let claim_end = (step == RequestStep::Fail).then_some(ClaimEnd::Release);
                 (step, claim_end)
             }
             StoredState::Absent if !self.is_retry => self.proceed(false),
             StoredState::Stage(Stage::NeverRan | Stage::Claimed) if is_trusted => self.proceed(false),
-            _ if self.scope == Scope::All => self.proceed(true),
-            // It is not known where it was sent, so others must not take this claim to mean that it was not.
+            _ if self.scope == DeduplicationScope::All => self.proceed(true),
+            // An attempt may have been sent to an unknown group. The stage must not tell others that nothing was sent.
             _ => (self.reject(MAX_RETRY_AFTER), Some(ClaimEnd::ReleaseWith(Stage::Unknown))),
         }
     }
 
-    /// Proceeds with the key held and nothing recorded yet.
+    /// Proceeds with the key held and no send record yet.
     fn proceed(&mut self, in_doubt: bool) -> (RequestStep, Option<ClaimEnd>) {
         self.phase = Phase::Held { in_doubt, recorded: None };
         (RequestStep::Proceed(None), None)
     }
 
-    /// Proceeds bound to the group that an earlier request was sent to.
-    fn adopt(&mut self, sent: SendRecord, now_ms: u64) -> RequestStep {
+    /// Proceeds bound to the group of an earlier request, unless its window is over.
+    fn proceed_in_group(&mut self, sent: SendRecord, now_ms: u64) -> RequestStep {
         let skew_ms = self.max_clock_skew.as_millis() as u64;
-        let is_ahead = sent.at_ms > now_ms.saturating_add(skew_ms);
+        let is_in_future = sent.at_ms > now_ms.saturating_add(skew_ms);
         let age = Duration::from_millis(now_ms.saturating_add(skew_ms).saturating_sub(sent.at_ms));
-        if age >= self.window || is_ahead && self.scope == Scope::Group {
-            // Engines may have forgotten the key, or the clocks differ by more than configured.
+        if age >= self.window || is_in_future && self.scope == DeduplicationScope::Group {
+            // Engines may no longer deduplicate the key, or the clocks differ by more than `max_clock_skew`.
             self.phase = Phase::Ended;
             return RequestStep::Fail;
         }
         self.phase = Phase::Held { in_doubt: false, recorded: Some(sent) };
         self.may_have_run = true;
-        RequestStep::Proceed((!is_ahead).then_some(EarlierAttempt { group: sent.group, age }))
+        RequestStep::Proceed((!is_in_future).then_some(EarlierAttempt { group: sent.group, age }))
     }
 
-    /// Decides whether an attempt may be sent to an engine of this group.
+    /// Decides whether an attempt may be sent to an engine of `group`.
     pub fn before_send(&mut self, group: u64, now_ms: u64) -> SendDecision {
-        let group = if self.scope == Scope::All { 0 } else { group };
+        let group = if self.scope == DeduplicationScope::All { 0 } else { group };
         let decision = match self.phase {
             Phase::WithoutStore => SendDecision::SendNow,
             Phase::Held { recorded: Some(sent), .. } if sent.group == group => SendDecision::SendNow,
@@ -310,7 +319,7 @@
         decision
     }
 
-    /// Takes in whether the record was written, `None` where the store gave no answer in time.
+    /// Handles the result of writing the send record: `None` if the store did not reply in time.
     pub fn on_recorded(&mut self, sent: SendRecord, written: Option<bool>) -> SendDecision {
         match (written, self.scope) {
             (Some(true), _) => {
@@ -319,13 +328,13 @@
                 }
                 SendDecision::SendNow
             }
-            // All engines deduplicate together, so it may be sent anywhere.
-            (_, Scope::All) => {
+            // All engines deduplicate together, so the attempt may be sent without a record.
+            (_, DeduplicationScope::All) => {
                 self.phase = Phase::WithoutStore;
                 SendDecision::SendNow
             }
-            (_, Scope::Group) => {
-                // It is not sent; if another claim holds the key now, it never will be.
+            (_, DeduplicationScope::Group) => {
+                // If the store refused the write, this claim no longer holds the key and nothing may be sent any more.
                 if written == Some(false) {
                     self.phase = Phase::Ended;
                 }
@@ -334,18 +343,18 @@
         }
     }
 
-    /// An attempt has ended, and may have run or surely did not.
+    /// Records the end of an attempt. `may_have_run` is false only if it certainly did not run.
     pub fn on_attempt_end(&mut self, may_have_run: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.may_have_run |= may_have_run;
     }
 
-    /// Whether an attempt of this request, or of an earlier one with its key, may have run.
+    /// Returns whether an attempt of this request, or of an earlier one with its key, may have run.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run || self.in_flight > 0
     }
 
-    /// The request has ended; returns what is to be written.
+    /// Ends the request. Returns the write that ends its claim, if a claim is held.
     pub fn on_request_end(&mut self, end: RequestEnd) -> Option<ClaimEnd> {
         let phase = std::mem::replace(&mut self.phase, Phase::Ended);
         let Phase::Held { in_doubt, recorded } = phase else { return None };
--- a/shared-store/src/lib.rs
+++ b/shared-store/src/lib.rs
@@ -1,20 +1,20 @@
-//! Decisions about a store that gateways share. The store improves service and is never required: this crate decides when
-//! it is called, how far its facts are relied on, and what a request with an idempotency key may do by them. It does no I/O
-//! and reads no clock: every call is given the time.
+//! Decision logic for the shared store of the gateways. The store improves service and is never required. This crate
+//! decides when the store is called, how far its contents are trusted, and what a request with an idempotency key may
+//! do based on them. It does no I/O and reads no clock: callers pass the current time.
 //!
 //! # Example
 //!
-//! A request with an idempotency key, in a class whose engines deduplicate by group: its key is claimed, the group of its
-//! first attempt is recorded before the send, and its answer is stored for retries at any gateway.
+//! A request with an idempotency key, in a class whose engines deduplicate within a group. The gateway claims the key,
+//! records the group of the first attempt before sending it, and stores the answer for retries at any gateway.
 //!
 //! ```
 //! use reedwalk_shared_store::idempotency::{
-//!     ClaimEnd, ClaimReply, KeyedRequest, RequestEnd, RequestStep, Scope, SendDecision, StoredState,
+//!     ClaimEnd, ClaimReply, DeduplicationScope, KeyedRequest, RequestEnd, RequestStep, SendDecision, StoredState,
 //! };
 //! use std::time::Duration;
 //!
 //! let (window, max_clock_skew) = (Duration::from_secs(12), Duration::from_millis(500));
-//! let mut request = KeyedRequest::new(Scope::Group, false, window, max_clock_skew);
+//! let mut request = KeyedRequest::new(DeduplicationScope::Group, false, window, max_clock_skew);
 //! assert_eq!(request.on_arrival(true), RequestStep::Claim);
 //!
 //! let reply = ClaimReply { is_claimed: true, lease_left: Duration::ZERO, stored: StoredState::Absent };
--- a/shared-store/src/quota_lease.rs
+++ b/shared-store/src/quota_lease.rs
@@ -1,62 +1,64 @@
-//! A team's budget at one gateway. Units are leased from the store in batches, so that most requests are charged here
-//! without a call. Where the store can't be reached, a gateway grants a part of its even share by itself, less what it has
-//! leased: all gateways together never grant more in a window than the budget and that part of it (one and a half
-//! budgets, `docs/design/shared-store.md`).
+//! A team's budget at one gateway. The gateway leases units from the shared store in batches, so that most requests are
+//! charged without a call to the store. While the store can't be reached, the gateway grants a part of its even share
+//! (the budget divided by the number of gateways) locally, less the units that it has leased. All gateways together
+//! therefore grant at most the budget plus that part in a window: one and a half budgets
+//! (`docs/design/shared-store.md`).
 
 use std::time::{Duration, Instant};
 
-/// Share of a gateway's even part of a budget that it grants by itself where the store can't be reached: others may have
-/// leased the whole budget, so at most this is granted beyond it.
+/// Fraction of its even share that a gateway grants locally while the store can't be reached. Other gateways may have
+/// leased the whole budget, so this limits how far the budget is exceeded.
 pub const STORE_DOWN_SHARE: f64 = 0.5;
-/// The same where there is no shared store: no other gateway can have it.
+/// Fraction of its even share that a gateway grants without a shared store: no other gateway can lease those units.
 pub const EVEN_SHARE: f64 = 1.0;
-/// A lease is one part in this many of a gateway's even share: that much may be unused at each of them.
-const LEASE_FRACTION: u64 = 16;
-/// How long the store is not called after it had no units left: other gateways may have returned some by then.
-const EXHAUSTED_RETRY: Duration = Duration::from_millis(100);
-/// Units of a lease that were not charged for this long are returned, so that other gateways can use them.
+/// Number of usual leases in an even share. A gateway may hold one lease unused, so this limits the unused units.
+const LEASES_PER_EVEN_SHARE: u64 = 16;
+/// Delay before the next lease call after the store ran out of units: other gateways may have returned some by then.
+const EXHAUSTED_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Leased units are returned after this time without a charge, so that other gateways can use them.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The result of a charge.
+/// Result of a charge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SpendResult {
-    /// It is charged.
+pub enum ChargeResult {
+    /// The units are charged.
     Granted,
-    /// Not enough is left in this window.
+    /// Not enough units are left in the current window.
     Denied,
-    /// This many units have to be leased first.
+    /// This many units must be leased first.
     Lease(u64),
 }
 
 /// One team's budget at this gateway.
 #[derive(Clone, Debug)]
 pub struct QuotaLease {
-    /// Units a window.
+    /// Units per window, over all gateways.
     budget: u64,
-    /// Gateways that share it.
+    /// Number of gateways that share the budget.
     gateways: u64,
-    /// Share of the even part of the budget that is granted without the store.
-    share: f64,
+    /// Fraction of the even share that is granted without the store.
+    local_fraction: f64,
     /// Number of the current window.
     window: u64,
-    /// Units leased and not charged yet.
+    /// Leased units that are not charged yet.
     available: u64,
-    /// Units leased in this window, charged or not, less those returned.
+    /// Units leased in the current window, charged or not, less the units returned to the store.
     leased: u64,
-    /// Units granted without the store in this window.
+    /// Units granted without the store in the current window.
     granted_locally: u64,
-    /// Until when the store is not asked, since it had no units left.
+    /// End of the delay after the store ran out of units.
     exhausted_until: Option<Instant>,
     last_used: Option<Instant>,
 }
 
 impl QuotaLease {
-    /// A budget of this many units a window, shared by `gateways`; each grants `share` of its even part by itself.
-    pub fn new(budget: u64, gateways: u64, share: f64) -> Self {
+    /// Creates a budget of `budget` units per window that `gateways` gateways share. Without the store, each grants
+    /// `local_fraction` of its even share.
+    pub fn new(budget: u64, gateways: u64, local_fraction: f64) -> Self {
         Self {
             budget,
             gateways: gateways.max(1),
-            share,
+            local_fraction,
             window: 0,
             available: 0,
             leased: 0,
@@ -66,90 +68,90 @@
         }
     }
 
-    /// Sets the current window by its number, and returns the one that is in force: a clock that steps back by less than a
-    /// window does not change it.
+    /// Advances to the window of this number and returns the number of the current window. A step back to the previous
+    /// window, as after a small clock correction, is ignored.
     pub fn advance_to(&mut self, window: u64) -> u64 {
         if window > self.window || window + 1 < self.window {
-            let fresh = Self::new(self.budget, self.gateways, self.share);
+            let fresh = Self::new(self.budget, self.gateways, self.local_fraction);
             *self = Self { window, ..fresh };
         }
         self.window
     }
 
-    /// Units of a usual lease.
+    /// Returns the number of units of a usual lease.
     fn lease_size(&self) -> u64 {
-        (self.budget / self.gateways / LEASE_FRACTION).max(1)
+        (self.budget / self.gateways / LEASES_PER_EVEN_SHARE).max(1)
     }
 
-    /// Charges units in the current window; `usable` says whether the store can be called.
-    pub fn charge(&mut self, amount: u64, usable: bool, now: Instant) -> SpendResult {
+    /// Charges units to the current window. `is_store_usable` tells whether the store may be called.
+    pub fn charge(&mut self, amount: u64, is_store_usable: bool, now: Instant) -> ChargeResult {
         if amount <= self.available {
             self.available -= amount;
             self.last_used = Some(now);
-            return SpendResult::Granted;
+            return ChargeResult::Granted;
         }
         if amount > self.budget {
-            return SpendResult::Denied;
+            return ChargeResult::Denied;
         }
-        if !usable {
+        if !is_store_usable {
             return self.charge_locally(amount);
         }
         if self.is_exhausted(now) {
-            return SpendResult::Denied;
+            return ChargeResult::Denied;
         }
         let missing = amount - self.available;
-        SpendResult::Lease(missing.max(self.lease_size()))
+        ChargeResult::Lease(missing.max(self.lease_size()))
     }
 
-    /// Charges units without the store: `share` of the even part of the budget, less what was leased in this window.
-    fn charge_locally(&mut self, amount: u64) -> SpendResult {
-        let limit = (self.budget as f64 / self.gateways as f64 * self.share) as u64;
+    /// Charges units without the store, up to `local_fraction` of the even share, less the units leased in this window.
+    fn charge_locally(&mut self, amount: u64) -> ChargeResult {
+        let limit = (self.budget as f64 / self.gateways as f64 * self.local_fraction) as u64;
         let total = self.leased.saturating_add(self.granted_locally).saturating_add(amount);
         if total > limit {
-            return SpendResult::Denied;
+            return ChargeResult::Denied;
         }
         self.granted_locally += amount;
-        SpendResult::Granted
+        ChargeResult::Granted
     }
 
-    /// Whether the store had no units left a moment ago.
+    /// Returns whether the store ran out of units less than [`EXHAUSTED_RETRY_DELAY`] ago.
     fn is_exhausted(&self, now: Instant) -> bool {
         self.exhausted_until.is_some_and(|until| now < until)
     }
 
-    /// Whether this many units can be charged without the store.
-    pub fn covers(&self, amount: u64) -> bool {
+    /// Returns whether this many leased units are available, so that a charge needs no call to the store.
+    pub fn has_available(&self, amount: u64) -> bool {
         amount <= self.available
     }
 
-    /// Units to lease ahead of need, so that no request waits for them.
-    pub fn wanted_ahead(&self, now: Instant) -> Option<u64> {
+    /// Returns the number of units to lease in advance, so that no request waits for a lease.
+    pub fn prefetch_amount(&self, now: Instant) -> Option<u64> {
         let is_low = self.available < self.lease_size() / 2;
         (is_low && !self.is_exhausted(now)).then(|| self.lease_size())
     }
 
-    /// Adds the units that the store has leased of those `wanted`, in this window.
-    pub fn add_leased(&mut self, window: u64, wanted: u64, units: u64, now: Instant) {
-        // Units of a window that is over have expired with it.
+    /// Adds the units that the store has granted of the `requested` ones in `window`.
+    pub fn add_leased(&mut self, window: u64, requested: u64, units: u64, now: Instant) {
+        // Units of a past window have expired with it.
         if window == self.window {
             self.available += units;
             self.leased += units;
-            self.exhausted_until = (units < wanted).then(|| now + EXHAUSTED_RETRY);
+            self.exhausted_until = (units < requested).then(|| now + EXHAUSTED_RETRY_DELAY);
             self.last_used = Some(now);
         }
     }
 
-    /// Returns the units of a request of this window that never ran.
+    /// Refunds the units of a request that never ran, if `window` is the current window.
     pub fn refund(&mut self, window: u64, amount: u64) {
         if window == self.window {
-            // Those granted without the store first: they were not leased, so they can't be charged again.
+            // Refund locally granted units first: they were not leased, so they must not become available leased units.
             let local = amount.min(self.granted_locally);
             self.granted_locally -= local;
             self.available += amount - local;
         }
     }
 
-    /// Removes the units to be returned to the store, since they are not used.
+    /// Removes and returns the unused units that are to be returned to the store.
     pub fn take_idle(&mut self, now: Instant) -> Option<u64> {
         let is_idle = self.available > 0
             && self.last_used.is_none_or(|at| now.saturating_duration_since(at) >= IDLE_TIMEOUT);
--- a/shared-store/src/quota_lease/tests.rs
+++ b/shared-store/src/quota_lease/tests.rs
@@ -6,25 +6,25 @@
 fn request_is_charged_to_the_lease_and_refunded_if_it_never_ran() {
     let (mut lease, now) = (QuotaLease::new(1600, 4, STORE_DOWN_SHARE), Instant::now());
     let window = lease.advance_to(7);
-    assert_eq!(lease.charge(4, true, now), SpendResult::Lease(25));
+    assert_eq!(lease.charge(4, true, now), ChargeResult::Lease(25));
     lease.add_leased(window, 25, 25, now);
-    assert_eq!(lease.charge(4, true, now), SpendResult::Granted);
-    assert_eq!(lease.wanted_ahead(now), None);
-    assert_eq!(lease.charge(11, true, now), SpendResult::Granted);
-    assert_eq!(lease.wanted_ahead(now), Some(25));
+    assert_eq!(lease.charge(4, true, now), ChargeResult::Granted);
+    assert_eq!(lease.prefetch_amount(now), None);
+    assert_eq!(lease.charge(11, true, now), ChargeResult::Granted);
+    assert_eq!(lease.prefetch_amount(now), Some(25));
     lease.refund(window, 11);
-    assert_eq!(lease.charge(21, true, now), SpendResult::Granted);
-    assert_eq!(lease.charge(1601, true, now), SpendResult::Denied);
+    assert_eq!(lease.charge(21, true, now), ChargeResult::Granted);
+    assert_eq!(lease.charge(1601, true, now), ChargeResult::Denied);
 }
 
 #[test]
-fn exhausted_store_is_called_again_only_after_a_pause() {
+fn exhausted_store_is_called_again_only_after_a_delay() {
     let (mut lease, now) = (QuotaLease::new(100, 1, STORE_DOWN_SHARE), Instant::now());
     let window = lease.advance_to(7);
     lease.add_leased(window, 6, 2, now);
-    assert_eq!(lease.charge(3, true, now), SpendResult::Denied);
-    assert_eq!(lease.charge(2, true, now), SpendResult::Granted);
-    assert_eq!(lease.charge(3, true, now + EXHAUSTED_RETRY), SpendResult::Lease(6));
+    assert_eq!(lease.charge(3, true, now), ChargeResult::Denied);
+    assert_eq!(lease.charge(2, true, now), ChargeResult::Granted);
+    assert_eq!(lease.charge(3, true, now + EXHAUSTED_RETRY_DELAY), ChargeResult::Lease(6));
 }
 
 #[test]
@@ -32,13 +32,13 @@
     let (mut lease, now) = (QuotaLease::new(100, 1, STORE_DOWN_SHARE), Instant::now());
     lease.advance_to(7);
     lease.add_leased(6, 6, 6, now);
-    assert_eq!(lease.charge(1, true, now), SpendResult::Lease(6), "of a past window");
+    assert_eq!(lease.charge(1, true, now), ChargeResult::Lease(6), "the lease was for a past window");
     lease.add_leased(7, 6, 6, now);
     assert_eq!(lease.advance_to(6), 7);
-    assert_eq!(lease.charge(1, true, now), SpendResult::Granted);
+    assert_eq!(lease.charge(1, true, now), ChargeResult::Granted);
     assert_eq!(lease.advance_to(8), 8);
-    assert_eq!(lease.charge(1, true, now), SpendResult::Lease(6));
-    assert_eq!(lease.advance_to(2), 2, "a clock that was corrected");
+    assert_eq!(lease.charge(1, true, now), ChargeResult::Lease(6));
+    assert_eq!(lease.advance_to(2), 2, "large clock correction");
 }
 
 #[test]
@@ -59,7 +59,7 @@
         ..Config::with_cases(256)
     })]
 
-    /// Any order of charges, store outages, lost replies, refunds and idle periods at several gateways.
+    /// Random sequences of charges, store outages, lost replies, refunds and idle periods at several gateways.
     #[test]
     fn at_most_one_and_a_half_budgets_are_granted_in_a_window(
         budget in 1u64..400,
@@ -79,21 +79,21 @@
                 0 => if let Some(units) = lease.take_idle(now) { leased -= units },
                 1 => now += IDLE_TIMEOUT,
                 _ => match lease.charge(amount, is_store_usable, now) {
-                    SpendResult::Granted => {
+                    ChargeResult::Granted => {
                         granted += amount;
                         if step == 2 {
                             lease.refund(1, amount);
                             granted -= amount;
                         }
                     }
-                    SpendResult::Denied => {}
-                    SpendResult::Lease(wanted) => {
+                    ChargeResult::Denied => {}
+                    ChargeResult::Lease(wanted) => {
                         let units = wanted.min(budget - leased);
                         leased += units;
-                        // The units of a lost reply are leased, and no gateway has them.
+                        // If the reply is lost, the units are leased but no gateway has them.
                         if step != 3 {
                             lease.add_leased(1, wanted, units, now);
-                            if lease.charge(amount, is_store_usable, now) == SpendResult::Granted {
+                            if lease.charge(amount, is_store_usable, now) == ChargeResult::Granted {
                                 granted += amount;
                             }
                         }
--- a/shared-store/src/write_behind.rs
+++ b/shared-store/src/write_behind.rs
@@ -1,9 +1,9 @@
-//! The queue of writes to the store that no request waits for. It is bounded: where the store accepts nothing, the oldest
-//! item is dropped, since later facts supersede it.
+//! Queue of asynchronous writes to the shared store, which no request waits for. The queue is bounded: when it is full,
+//! the oldest item is dropped, since later writes supersede it.
 
 use std::collections::VecDeque;
 
-/// A bounded queue of writes.
+/// Bounded FIFO queue of writes.
 #[derive(Clone, Debug)]
 pub struct WriteBehindQueue<T> {
     items: VecDeque<T>,
@@ -12,12 +12,12 @@
 }
 
 impl<T> WriteBehindQueue<T> {
-    /// An empty queue of this capacity.
+    /// Creates an empty queue of this capacity, which is at least 1.
     pub fn new(capacity: usize) -> Self {
         Self { items: VecDeque::new(), capacity: capacity.max(1), dropped: 0 }
     }
 
-    /// Appends an item; drops the oldest one if the queue is full.
+    /// Appends an item. Drops the oldest item if the queue is full.
     pub fn push(&mut self, item: T) {
         if self.items.len() >= self.capacity {
             self.items.pop_front();
@@ -26,13 +26,13 @@
         self.items.push_back(item);
     }
 
-    /// Removes and returns at most `max` items, the oldest first.
+    /// Removes and returns up to `max` items, oldest first.
     pub fn take(&mut self, max: usize) -> Vec<T> {
         let count = self.items.len().min(max);
         self.items.drain(..count).collect()
     }
 
-    /// The number of items dropped so far.
+    /// Returns the number of items dropped so far.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
--- a/shared-store/tests/schedules/checks.rs
+++ b/shared-store/tests/schedules/checks.rs
@@ -1,30 +1,30 @@
-//! What is counted in a schedule, and checked at its end.
+//! Counts of a schedule, and the checks at its end.
 
 use crate::requests::{DEADLINE_MS, Request};
-use crate::test_bed::{END_MS, TestBed, WINDOW_MS};
+use crate::test_bed::{SCHEDULE_END_MS, TestBed, WINDOW_MS};
 
-/// A gateway answers within this time after the deadline.
+/// Tolerance after the deadline within which a gateway must have answered.
 const ANSWER_SLACK_MS: u64 = 20;
 
-/// The counts of a schedule.
+/// Counts of one schedule, or the sum over several.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub faults: usize,
     pub requests: usize,
-    /// Keys whose clients know that they were served.
+    /// Keys whose clients have received the answer.
     pub served: usize,
-    /// Requests that were answered from the store.
+    /// Requests answered with an answer from the store.
     pub served_from_store: usize,
-    /// Effects of a key inside its window beyond the first.
+    /// Effects of a key after the first within its window.
     pub duplicate_effects: usize,
-    /// Requests that got no answer though their gateway was running.
+    /// Requests without an answer although their gateway was running.
     pub missing_answers: usize,
-    /// Requests that got more than one answer.
+    /// Requests with more than one answer.
     pub repeated_answers: usize,
 }
 
 impl Counts {
-    /// Whether anything happened that must not.
+    /// Returns whether any check failed.
     pub fn has_violations(&self) -> bool {
         self.duplicate_effects + self.missing_answers + self.repeated_answers > 0
     }
@@ -42,7 +42,7 @@
 }
 
 impl TestBed {
-    /// Checks a schedule that has ended.
+    /// Checks the finished schedule and returns its counts.
     pub fn check(mut self) -> Counts {
         for effects in self.effects.values() {
             let first_ms = effects[0].0;
@@ -53,15 +53,16 @@
         for request in &self.requests {
             self.counts.repeated_answers += usize::from(request.answers.len() > 1);
             let is_missing = request.answers.is_empty() && !request.is_disconnected;
-            self.counts.missing_answers += usize::from(is_missing && self.owes_answer(request));
+            self.counts.missing_answers += usize::from(is_missing && self.must_have_answered(request));
         }
         self.counts
     }
 
-    /// Whether the deadline is over at a gateway that is neither killed nor suspended to the end.
-    fn owes_answer(&self, request: &Request) -> bool {
-        let is_deadline_over = request.arrived_ms + DEADLINE_MS + ANSWER_SLACK_MS < END_MS;
-        let is_suspended = self.gateways[request.at.gateway].suspended_until_ms >= END_MS;
+    /// Returns whether the deadline of a request has passed at a gateway that was neither killed nor suspended until
+    /// the end of the schedule.
+    fn must_have_answered(&self, request: &Request) -> bool {
+        let is_deadline_over = request.arrived_ms + DEADLINE_MS + ANSWER_SLACK_MS < SCHEDULE_END_MS;
+        let is_suspended = self.gateways[request.at.gateway].suspended_until_ms >= SCHEDULE_END_MS;
         is_deadline_over && self.is_running(request.at) && !is_suspended
     }
 }
--- a/shared-store/tests/schedules/events.rs
+++ b/shared-store/tests/schedules/events.rs
@@ -1,52 +1,52 @@
-//! The events of a schedule.
+//! Events of a schedule.
 
 use crate::store_model::{StoreOperation, StoreReply};
 
-/// Where an event takes place: a gateway, and the process that it was for. An event for an earlier process is dropped.
+/// Gateway process that an event belongs to. Events of a process that was replaced are dropped.
 #[derive(Clone, Copy, Debug)]
 pub struct GatewayProcess {
     /// Index of the gateway.
     pub gateway: usize,
-    /// Number of its process; a killed gateway gets a new one.
+    /// Number of the process; the process that replaces a killed one has a new number.
     pub process: u64,
 }
 
-/// A call of the store that a reply belongs to.
+/// Store call that a reply belongs to.
 #[derive(Clone, Copy, Debug)]
 pub enum StoreCall {
-    /// Of a request; `number` counts its calls, so that a late reply is dropped.
-    OfRequest { request: usize, number: usize },
-    /// A heartbeat with this counter.
+    /// Call of a request. `number` counts the calls of the request, so that late replies can be dropped.
+    Request { request: usize, number: usize },
+    /// Heartbeat with this counter.
     Heartbeat { count: u64 },
-    /// Nobody waits for the reply.
+    /// Call whose reply is ignored.
     WithoutReply,
 }
 
-/// How an attempt at an engine ends.
+/// Outcome of an attempt at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It was served.
+    /// The attempt was served.
     Served,
-    /// It was rejected, and never ran.
+    /// The attempt was rejected and never ran.
     Rejected,
-    /// It ran, and its answer was lost.
+    /// The attempt ran, and its answer was lost.
     AnswerLost,
 }
 
-/// An event of a schedule.
+/// Event of a schedule.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A client's request reaches a gateway; `retry` is 0 for the first.
     Arrival { key: usize, retry: usize, gateway: usize },
     /// The store applies an operation.
     Apply { operation: StoreOperation, at: GatewayProcess, call: StoreCall },
-    /// The reply to a call is there, or none came in time.
+    /// A gateway receives the reply to a call, or the call times out (`None`).
     Reply { at: GatewayProcess, call: StoreCall, reply: Option<StoreReply>, called_ms: u64 },
-    /// The scheduler wants an attempt sent.
+    /// The scheduler sends an attempt.
     SendAttempt { request: usize, at: GatewayProcess },
-    /// The end of an attempt is known.
+    /// An attempt ends.
     AttemptEnd { request: usize, at: GatewayProcess, outcome: AttemptOutcome },
-    /// The gateway answers at the deadline whatever happens.
+    /// The deadline of a request passes, at which the gateway must answer.
     Deadline { request: usize, at: GatewayProcess },
     /// The client disconnects.
     Disconnect { request: usize },
@@ -59,7 +59,7 @@
 }
 
 impl Event {
-    /// The gateway that the event waits for while it is suspended.
+    /// Returns the gateway whose suspension delays the event.
     pub fn gateway(&self) -> Option<usize> {
         match self {
             Self::Arrival { gateway, .. } => Some(*gateway),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The process that the event is for, if a killed one must not receive it.
+    /// Returns the process of an event that is dropped once that process was killed.
     pub fn process(&self) -> Option<GatewayProcess> {
         match self {
             Self::Reply { at, .. }
--- a/shared-store/tests/schedules/faults.rs
+++ b/shared-store/tests/schedules/faults.rs
@@ -1,32 +1,32 @@
-//! Faults of gateways and of the store.
+//! Fault injection for gateways and the store.
 
 use crate::test_bed::TestBed;
 use reedwalk_shared_store::freshness;
 
-/// A fault of the store, for a while.
+/// Temporary fault of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFault {
-    /// It does nothing.
+    /// The store applies no calls and sends no replies.
     Frozen,
-    /// Calls are lost before it applies them.
+    /// Calls are lost before the store applies them.
     DropCalls,
-    /// Replies are lost after it has applied the calls.
+    /// Replies are lost after the store has applied the calls.
     DropReplies,
-    /// Its replies are late.
+    /// Replies are delayed.
     Slow { delay_ms: u64 },
 }
 
-/// The faults by their random numbers; a suspension is the most frequent.
+/// Number of fault kinds to draw from. Several stand for a suspension, which makes it the most frequent fault.
 const FAULT_KINDS: u64 = 12;
-/// The first of the faults that only gateways have: a suspension twice, and a killed process.
+/// First of the fault kinds that affect only a gateway: a suspension twice, and a killed process.
 const FIRST_GATEWAY_FAULT: u64 = 4;
 const GATEWAY_FAULT_KINDS: u64 = 3;
 
 impl TestBed {
-    /// Begins a random fault. The contents of the store are remembered after each, for a restore of old data.
+    /// Starts a random fault, and then copies the store so that a later fault can restore old data.
     pub fn begin_fault(&mut self) {
         self.counts.faults += 1;
-        let gateway = self.gateway_with_faults();
+        let gateway = self.faulty_gateway();
         let duration_ms = 50 + self.random.below(4_000);
         let end_ms = self.now_ms + duration_ms;
         let kind = if self.single_gateway_faults {
@@ -51,7 +51,7 @@
         self.store_copies.push((self.now_ms, self.store.clone()));
     }
 
-    /// Another process takes the place of a killed one, whose clients find their connections broken.
+    /// Replaces the process of a gateway with a new one and disconnects the clients of the killed process.
     fn kill_gateway(&mut self, gateway: usize) {
         let breaker_seed = self.random.below(u64::MAX);
         let now = self.now();
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Restores contents that are old enough that every running gateway has written a heartbeat since.
+    /// Restores a copy of the store that is old enough for every running gateway to have written a heartbeat since.
     fn restore_old_store(&mut self) {
         let min_age_ms = freshness::MAX_HEARTBEAT_GAP.as_millis() as u64 + 100;
         let is_old = |taken_ms: u64| taken_ms + min_age_ms <= self.now_ms;
@@ -78,11 +78,11 @@
         }
     }
 
-    /// Loses about half of the keys.
+    /// Removes about half of the keys from the store.
     fn lose_keys(&mut self) {
         for key in self.store.keys() {
             if self.random.chance(50) {
-                self.store.lose(key);
+                self.store.remove_key(key);
             }
         }
     }
--- a/shared-store/tests/schedules/random.rs
+++ b/shared-store/tests/schedules/random.rs
@@ -1,25 +1,25 @@
-//! Random numbers from a seed, the same in every run.
+//! Deterministic random numbers from a seed.
 
 use proptest::prelude::Rng;
 use proptest::test_runner::{RngAlgorithm, TestRng};
 
-/// A generator of random numbers.
+/// Seeded random number generator.
 pub struct SeededRandom(TestRng);
 
 impl SeededRandom {
-    /// The generator of this seed.
+    /// Creates a generator with this seed.
     pub fn new(seed: u64) -> Self {
         let mut bytes = [0; 32];
         bytes[..8].copy_from_slice(&seed.to_le_bytes());
         Self(TestRng::from_seed(RngAlgorithm::ChaCha, &bytes))
     }
 
-    /// A number from 0 to `limit - 1`.
+    /// Returns a number from 0 to `limit - 1`.
     pub fn below(&mut self, limit: u64) -> u64 {
         self.0.next_u64() % limit
     }
 
-    /// True in this many of a hundred cases.
+    /// Returns true with a probability of `percent` percent.
     pub fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
--- a/shared-store/tests/schedules/requests.rs
+++ b/shared-store/tests/schedules/requests.rs
@@ -1,23 +1,24 @@
-//! Requests at a gateway, from arrival to answer, by the protocol under test.
+//! Requests at a gateway, from arrival to answer, handled by the protocol under test.
 
 use crate::events::{AttemptOutcome, Event, GatewayProcess, StoreCall};
 use crate::store_calls::CALL_TIMEOUT_MS;
 use crate::store_model::{StoreOperation, StoreReply};
 use crate::test_bed::{TestBed, WINDOW_MS};
-use reedwalk_shared_store::circuit_breaker::Fault;
+use reedwalk_shared_store::circuit_breaker::FailureKind;
 use reedwalk_shared_store::idempotency::{
-    ClaimEnd, ClaimHolder, KeyedRequest, RequestEnd, RequestStep, Scope, SendDecision, SendRecord,
+    ClaimEnd, ClaimHolder, DeduplicationScope, KeyedRequest, RequestEnd, RequestStep, SendDecision,
+    SendRecord,
 };
 use std::time::{Duration, Instant};
 
-/// By how much the gateways' clocks may differ, by their configuration.
+/// Clock skew between gateways that the protocol is configured to tolerate.
 const MAX_CLOCK_SKEW: Duration = Duration::from_millis(500);
-/// A gateway answers within this time, whatever happens.
+/// Time after the arrival by which a gateway must answer.
 pub const DEADLINE_MS: u64 = 5_000;
-/// Attempts of a request at most.
+/// Maximum number of attempts per request.
 const MAX_ATTEMPTS: usize = 3;
 
-/// What a client receives.
+/// Answer that a client receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientAnswer {
     Served,
@@ -25,18 +26,18 @@
     Failed,
 }
 
-/// The group that a request is bound to.
+/// Engine group that a request is bound to.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupBinding {
     pub group: u64,
-    /// When its first attempt was sent there.
+    /// Time at which the first attempt was sent to the group.
     pub sent_ms: u64,
 }
 
 /// A request of a client at a gateway.
 pub struct Request {
     pub key: usize,
-    /// 0 for the first request of the key.
+    /// Number of the retry; 0 for the first request of the key.
     pub retry: usize,
     pub at: GatewayProcess,
     pub arrived_ms: u64,
@@ -44,22 +45,22 @@
     pub holder: ClaimHolder,
     binding: Option<GroupBinding>,
     attempts: usize,
-    /// Calls of the store that are over: a reply to one of them is dropped.
-    pub store_calls: usize,
-    /// The record that the store is to write before an attempt is sent.
+    /// Number of finished store calls. Late replies to them are dropped.
+    pub finished_store_calls: usize,
+    /// Send record that must be written to the store before the attempt is sent.
     pending_record: Option<SendRecord>,
     first_sent_ms: Option<u64>,
-    /// What its client has received.
+    /// Answers that the client has received.
     pub answers: Vec<ClientAnswer>,
-    /// Its client waits no more.
+    /// Whether the client has disconnected.
     pub is_disconnected: bool,
-    /// Its gateway has answered, or knows that the client has disconnected.
+    /// Whether the gateway has answered or has detected the client's disconnect.
     pub is_finished: bool,
 }
 
 impl Request {
-    /// Whether this process of a gateway has the request.
-    pub fn is_at(&self, at: GatewayProcess) -> bool {
+    /// Returns whether the request is handled by this gateway process.
+    pub fn is_handled_by(&self, at: GatewayProcess) -> bool {
         self.at.gateway == at.gateway && self.at.process == at.process
     }
 }
@@ -73,8 +74,12 @@
         let at = self.current_process(gateway);
         let now = self.now();
         let NewClaim { holder, is_store_usable } = self.new_claim(gateway, now);
-        let mut keyed =
-            KeyedRequest::new(Scope::Group, retry > 0, Duration::from_millis(WINDOW_MS), MAX_CLOCK_SKEW);
+        let mut keyed = KeyedRequest::new(
+            DeduplicationScope::Group,
+            retry > 0,
+            Duration::from_millis(WINDOW_MS),
+            MAX_CLOCK_SKEW,
+        );
         let step = keyed.on_arrival(is_store_usable);
         let request = self.requests.len();
         self.requests.push(Request {
@@ -86,7 +91,7 @@
             holder,
             binding: None,
             attempts: 0,
-            store_calls: 0,
+            finished_store_calls: 0,
             pending_record: None,
             first_sent_ms: None,
             answers: Vec::new(),
@@ -95,18 +100,18 @@
         });
         self.schedule(self.now_ms + DEADLINE_MS, Event::Deadline { request, at });
         self.schedule_disconnect(request);
-        self.take_step(request, step);
+        self.execute_step(request, step);
     }
 
     fn new_claim(&mut self, gateway: usize, now: Instant) -> NewClaim {
         let gateway = &mut self.gateways[gateway];
-        gateway.claims += 1;
-        let holder = ClaimHolder { process: gateway.process, claim: gateway.claims };
+        gateway.claim_count += 1;
+        let holder = ClaimHolder { process: gateway.process, claim: gateway.claim_count };
         let deadline = now + Duration::from_millis(CALL_TIMEOUT_MS);
         NewClaim { holder, is_store_usable: gateway.breaker.allows_call(now, deadline) }
     }
 
-    fn take_step(&mut self, request: usize, step: RequestStep) {
+    fn execute_step(&mut self, request: usize, step: RequestStep) {
         let state = &mut self.requests[request];
         match step {
             RequestStep::Claim => {
@@ -116,7 +121,7 @@
                     is_retry: state.retry > 0,
                     process: state.at.process,
                 };
-                self.call_store_for(request, operation);
+                self.call_store_for_request(request, operation);
             }
             RequestStep::Proceed(earlier) => {
                 state.binding = earlier.map(|earlier| GroupBinding {
@@ -137,15 +142,15 @@
         }
     }
 
-    /// A reply of the store to a call of this request.
+    /// Handles the store's reply to a call of this request.
     pub fn on_request_reply(&mut self, request: usize, reply: Option<StoreReply>, called_ms: u64) {
         let now = self.now();
-        // A gateway that was suspended past the timeout has had no reply in time, whatever has arrived since.
+        // A reply that a suspended gateway reads after the timeout counts as a timeout.
         let reply = reply.filter(|_| self.now_ms <= called_ms + CALL_TIMEOUT_MS);
         let breaker = &mut self.gateways[self.requests[request].at.gateway].breaker;
         match &reply {
             Some(_) => breaker.on_success(),
-            None => breaker.on_failure(Fault::Timeout, now),
+            None => breaker.on_failure(FailureKind::Timeout, now),
         };
         if self.requests[request].is_finished {
             return;
@@ -163,7 +168,7 @@
         };
         let state = &mut self.requests[request];
         if state.keyed.on_recorded(sent, written) == SendDecision::SendNow {
-            // The scheduler learns that the request is bound from now on.
+            // From now on the scheduler sends the request only to this group.
             state.binding = Some(GroupBinding { group: sent.group, sent_ms: self.now_ms });
             self.run_attempt(request, sent.group);
         } else {
@@ -184,10 +189,10 @@
         let unix_ms = self.unix_ms(gateway);
         let (step, end) = self.requests[request].keyed.on_claim_reply(claim_reply, is_trusted, unix_ms);
         self.end_claim(request, end);
-        self.take_step(request, step);
+        self.execute_step(request, step);
     }
 
-    /// Chooses any group that the rules allow, in place of the scheduler.
+    /// Sends an attempt to a random group that the binding of the request allows, in place of the scheduler.
     pub fn send_attempt(&mut self, request: usize) {
         let state = &self.requests[request];
         if state.is_finished {
@@ -209,13 +214,13 @@
             SendDecision::RecordFirst(sent) => {
                 state.pending_record = Some(sent);
                 let operation = StoreOperation::RecordSend { key: state.key, holder: state.holder, sent };
-                self.call_store_for(request, operation);
+                self.call_store_for_request(request, operation);
             }
             SendDecision::DoNotSend => self.answer(request, ClientAnswer::Failed),
         }
     }
 
-    /// Runs an attempt at an engine of a group.
+    /// Runs an attempt on an engine of a group, with a random outcome.
     fn run_attempt(&mut self, request: usize, group: u64) {
         let outcome = match self.random.below(100) {
             0..=44 => AttemptOutcome::Served,
@@ -224,7 +229,7 @@
         };
         let state = &mut self.requests[request];
         if outcome != AttemptOutcome::Rejected {
-            // Engines of a group deduplicate a key that they remember.
+            // Engines of a group deduplicate a key within its window.
             let first_run = self.first_runs.get(&(state.key, group));
             if first_run.is_none_or(|first_run_ms| self.now_ms >= first_run_ms + WINDOW_MS) {
                 self.first_runs.insert((state.key, group), self.now_ms);
@@ -267,7 +272,7 @@
         self.deliver(request, answer);
     }
 
-    /// Writes the end of a request's claim to the store, if there is one.
+    /// Writes the end of the request's claim to the store, if `end` is given.
     pub fn end_claim(&mut self, request: usize, end: Option<ClaimEnd>) {
         let state = &self.requests[request];
         if let Some(end) = end {
@@ -278,7 +283,7 @@
     }
 }
 
-/// The claim of a request that arrives, and whether the store may be called for it.
+/// Claim of a new request, and whether the store may be called for it.
 struct NewClaim {
     holder: ClaimHolder,
     is_store_usable: bool,
--- a/shared-store/tests/schedules/store_calls.rs
+++ b/shared-store/tests/schedules/store_calls.rs
@@ -1,16 +1,16 @@
-//! The calls of the store, with their timeouts and the store's faults.
+//! Calls to the store, with timeouts and injected store faults.
 
 use crate::events::{Event, GatewayProcess, StoreCall};
 use crate::faults::StoreFault;
 use crate::store_model::{StoreOperation, StoreReply};
 use crate::test_bed::TestBed;
-use reedwalk_shared_store::circuit_breaker::Fault;
+use reedwalk_shared_store::circuit_breaker::FailureKind;
 
-/// How long a gateway waits for a reply of the store.
+/// Time after which a gateway stops waiting for a reply of the store.
 pub const CALL_TIMEOUT_MS: u64 = 25;
 
 impl TestBed {
-    /// Sends an operation to the store; a call that waits for a reply gets none after its timeout.
+    /// Sends an operation to the store. A call that expects a reply is given `None` at its timeout.
     pub fn call_store(&mut self, gateway: usize, operation: StoreOperation, call: StoreCall) {
         let at = self.current_process(gateway);
         let called_ms = self.now_ms;
@@ -24,14 +24,14 @@
         }
     }
 
-    /// Sends an operation of a request to the store, whose reply goes to the request.
-    pub fn call_store_for(&mut self, request: usize, operation: StoreOperation) {
+    /// Sends an operation to the store on behalf of a request, which receives the reply.
+    pub fn call_store_for_request(&mut self, request: usize, operation: StoreOperation) {
         let state = &self.requests[request];
-        let call = StoreCall::OfRequest { request, number: state.store_calls };
+        let call = StoreCall::Request { request, number: state.finished_store_calls };
         self.call_store(state.at.gateway, operation, call);
     }
 
-    /// The store applies an operation, unless it has a fault.
+    /// Applies an operation at the store, subject to the current store fault.
     pub fn apply_at_store(&mut self, operation: &StoreOperation, at: GatewayProcess, call: StoreCall) {
         let fault = self.store_fault.filter(|(_, end_ms)| *end_ms > self.now_ms).map(|(fault, _)| fault);
         if matches!(fault, Some(StoreFault::Frozen | StoreFault::DropCalls)) {
@@ -45,9 +45,9 @@
             _ => 0,
         };
         let call = match call {
-            // As the request's calls are counted when the reply is sent.
-            StoreCall::OfRequest { request, .. } => {
-                StoreCall::OfRequest { request, number: self.requests[request].store_calls }
+            // The reply takes the number of the request's current call at the time it is sent.
+            StoreCall::Request { request, .. } => {
+                StoreCall::Request { request, number: self.requests[request].finished_store_calls }
             }
             StoreCall::Heartbeat { .. } => call,
             StoreCall::WithoutReply => return,
@@ -55,7 +55,7 @@
         self.schedule(self.now_ms + 1 + delay_ms, Event::Reply { at, call, reply: Some(reply), called_ms });
     }
 
-    /// A reply is there, or the call's timeout is over.
+    /// Handles the reply to a call, or its timeout (`None`).
     pub fn on_reply(
         &mut self,
         at: GatewayProcess,
@@ -64,9 +64,9 @@
         called_ms: u64,
     ) {
         match call {
-            StoreCall::OfRequest { request, number } => {
-                if self.requests[request].store_calls == number {
-                    self.requests[request].store_calls += 1;
+            StoreCall::Request { request, number } => {
+                if self.requests[request].finished_store_calls == number {
+                    self.requests[request].finished_store_calls += 1;
                     self.on_request_reply(request, reply, called_ms);
                 }
             }
@@ -89,7 +89,7 @@
             gateway.freshness.on_confirmed(count, called_at);
             gateway.breaker.on_success();
         } else {
-            gateway.breaker.on_failure(Fault::Timeout, now);
+            gateway.breaker.on_failure(FailureKind::Timeout, now);
         }
     }
 }
--- a/shared-store/tests/schedules/store_model.rs
+++ b/shared-store/tests/schedules/store_model.rs
@@ -1,4 +1,4 @@
-//! A model of the store, written from the description of its scripts and not from their code.
+//! Model of the store, written from the specification of its scripts and independent of their code.
 
 use crate::test_bed::{StoreWrites, WINDOW_MS};
 use reedwalk_shared_store::idempotency::{
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What the store holds of one key.
+/// Entry of one key in the store.
 #[derive(Clone, Default)]
 struct KeyState {
     holder: Option<ClaimHolder>,
@@ -32,7 +32,7 @@
         self.stage != Some(Stage::Done) && (self.holder.is_none() || self.lease_end_ms <= now_ms)
     }
 
-    /// The stage after a claim.
+    /// Returns the stage that a successful claim sets.
     fn claimed_stage(&self, is_retry: bool) -> Stage {
         match self.stage {
             None if is_retry => Stage::Unknown,
@@ -42,33 +42,33 @@
     }
 }
 
-/// An operation that a gateway sends to the store.
+/// Operation that a gateway sends to the store.
 #[derive(Clone, Debug)]
 pub enum StoreOperation {
-    /// Claims a key, and reads the heartbeat counter of the gateway's process.
+    /// Claims a key and reads the heartbeat counter of the gateway process.
     Claim { key: usize, holder: ClaimHolder, is_retry: bool, process: u64 },
-    /// Records where a request is sent.
+    /// Records the group that a request is sent to.
     RecordSend { key: usize, holder: ClaimHolder, sent: SendRecord },
     /// Ends a claim.
     EndClaim { key: usize, holder: ClaimHolder, end: ClaimEnd },
     /// Renews the lease of a claim.
     Renew { key: usize, holder: ClaimHolder },
-    /// Writes the heartbeat counter of a process and reads the one before.
+    /// Writes the heartbeat counter of a process and reads the previous value.
     Heartbeat { process: u64, count: u64 },
 }
 
-/// The store's reply to an operation.
+/// Reply of the store to an operation.
 #[derive(Clone, Debug)]
 pub enum StoreReply {
-    /// The reply to a claim, and the heartbeat counter that the store holds.
+    /// Reply to a claim, and the stored heartbeat counter.
     Claimed(ClaimReply, Option<u64>),
-    /// Whether a write of a claim's holder was accepted.
+    /// Whether a write that requires the claim was accepted.
     Written(bool),
-    /// The heartbeat counter before the one that was written.
+    /// Heartbeat counter before the write.
     Heartbeat(Option<u64>),
 }
 
-/// The content of the store.
+/// Contents of the store.
 #[derive(Clone, Default)]
 pub struct StoreModel {
     keys: BTreeMap<usize, KeyState>,
@@ -76,7 +76,7 @@
 }
 
 impl StoreModel {
-    /// Applies an operation. Without fencing, writes of claims that no longer hold the key are accepted.
+    /// Applies an operation. Without fencing, writes by claims that no longer hold the key are accepted as well.
     pub fn apply(&mut self, operation: &StoreOperation, now_ms: u64, writes: StoreWrites) -> StoreReply {
         self.keys.retain(|_, state| state.expires_ms > now_ms);
         match operation {
@@ -114,7 +114,7 @@
         ClaimReply { is_claimed, lease_left, stored }
     }
 
-    /// Changes the state of a key, if this claim holds it.
+    /// Applies a change to the entry of a key if this claim holds the key.
     fn write(
         &mut self,
         key: usize,
@@ -130,13 +130,13 @@
         StoreReply::Written(is_accepted)
     }
 
-    /// The keys in the store.
+    /// Returns the keys in the store.
     pub fn keys(&self) -> Vec<usize> {
         self.keys.keys().copied().collect()
     }
 
-    /// Loses all that is stored of a key.
-    pub fn lose(&mut self, key: usize) {
+    /// Removes the entry of a key.
+    pub fn remove_key(&mut self, key: usize) {
         self.keys.remove(&key);
     }
 }
