--- a/gateway/src/broker/idempotency.rs
+++ b/gateway/src/broker/idempotency.rs
@@ -7,10 +7,10 @@
 use crate::message::{AttemptId, AttemptRequest, BrokerEvent, ClaimAnswer, Request, Rows};
 use crate::shared_store::client::{Key, SharedStoreClient};
 use crate::unix_clock::unix_ms;
-use reedwalk_scheduler::{Deduplication, EngineEntry, KeyScope, RequestId};
+use reedwalk_scheduler::{Deduplication, DeduplicationScope, EngineEntry, RequestId};
 use reedwalk_settings::Deployment;
 use reedwalk_shared_store::idempotency::{
-    ClaimEnd, ClaimHolder, DeduplicationScope, KeyedRequest, RequestEnd, RequestStep, SendDecision,
+    ClaimEnd, ClaimHolder, DeduplicationDomain, KeyedRequest, RequestEnd, RequestStep, SendDecision,
     SendRecord,
 };
 use std::collections::HashMap;
@@ -87,10 +87,13 @@
         };
         let class = *class;
         let answer_deadline = now + self.store.options().wait;
-        let scope =
-            if class.scope == KeyScope::All { DeduplicationScope::All } else { DeduplicationScope::Group };
+        let domain = if class.scope == DeduplicationScope::All {
+            DeduplicationDomain::All
+        } else {
+            DeduplicationDomain::Group
+        };
         let mut state =
-            KeyedRequest::new(scope, request.is_retry, class.window, self.store.options().clocks_differ);
+            KeyedRequest::new(domain, request.is_retry, class.window, self.store.options().clocks_differ);
         let is_shared = idempotency_key.len() <= MAX_SHARED_KEY_BYTES;
         let step = state.on_arrival(is_shared && self.store.is_usable(now, answer_deadline));
         let key = self.store.request_key(name, idempotency_key);
--- a/shared-store/src/idempotency.rs
+++ b/shared-store/src/idempotency.rs
@@ -42,7 +42,7 @@
 
 /// Set of engines that deduplicate a key together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DeduplicationScope {
+pub enum DeduplicationDomain {
     /// All engines.
     All,
     /// Only the engines of one group, which is a zone or a cell.
@@ -189,7 +189,7 @@
 /// State machine of one request with an idempotency key, from its arrival to its end.
 #[derive(Clone, Debug)]
 pub struct KeyedRequest {
-    scope: DeduplicationScope,
+    domain: DeduplicationDomain,
     is_retry: bool,
     /// How long engines deduplicate a key after an attempt is sent.
     window: Duration,
@@ -203,13 +203,13 @@
 impl KeyedRequest {
     /// Creates the state of a request that has just arrived. `is_retry` is true if its client marks it as a retry.
     pub fn new(
-        scope: DeduplicationScope,
+        domain: DeduplicationDomain,
         is_retry: bool,
         window: Duration,
         max_clock_skew: Duration,
     ) -> Self {
         Self {
-            scope,
+            domain,
             is_retry,
             window,
             max_clock_skew,
@@ -225,7 +225,7 @@
             self.phase = Phase::Claiming;
             return RequestStep::Claim;
         }
-        if self.scope == DeduplicationScope::Group && self.is_retry {
+        if self.domain == DeduplicationDomain::Group && self.is_retry {
             // The earlier request may have been sent to another group.
             return self.reject(MAX_RETRY_AFTER);
         }
@@ -248,19 +248,19 @@
     ) -> (RequestStep, Option<ClaimEnd>) {
         let Some(ClaimReply { is_claimed, lease_left, stored }) = reply else {
             // The claim may have succeeded all the same. Others then find a claim under which nothing was sent.
-            return match self.scope {
-                DeduplicationScope::All => {
+            return match self.domain {
+                DeduplicationDomain::All => {
                     self.phase = Phase::WithoutStore;
                     (RequestStep::Proceed(None), None)
                 }
-                DeduplicationScope::Group => (self.reject(MIN_RETRY_AFTER), None),
+                DeduplicationDomain::Group => (self.reject(MIN_RETRY_AFTER), None),
             };
         };
         if let StoredState::Done(answer) = stored {
             self.phase = Phase::Ended;
             return (RequestStep::Respond(answer), None);
         }
-        if !is_claimed && stored == StoredState::Unreadable && self.scope == DeduplicationScope::All {
+        if !is_claimed && stored == StoredState::Unreadable && self.domain == DeduplicationDomain::All {
             self.phase = Phase::WithoutStore;
             return (RequestStep::Proceed(None), None);
         }
@@ -276,7 +276,7 @@
             }
             StoredState::Absent if !self.is_retry => self.proceed(false),
             StoredState::Stage(Stage::NeverRan | Stage::Claimed) if is_trusted => self.proceed(false),
-            _ if self.scope == DeduplicationScope::All => self.proceed(true),
+            _ if self.domain == DeduplicationDomain::All => self.proceed(true),
             // An attempt may have been sent to an unknown group. The stage must not tell others that nothing was sent.
             _ => (self.reject(MAX_RETRY_AFTER), Some(ClaimEnd::ReleaseWith(Stage::Unknown))),
         }
@@ -293,7 +293,7 @@
         let skew_ms = self.max_clock_skew.as_millis() as u64;
         let is_in_future = sent.at_ms > now_ms.saturating_add(skew_ms);
         let age = Duration::from_millis(now_ms.saturating_add(skew_ms).saturating_sub(sent.at_ms));
-        if age >= self.window || is_in_future && self.scope == DeduplicationScope::Group {
+        if age >= self.window || is_in_future && self.domain == DeduplicationDomain::Group {
             // Engines may no longer deduplicate the key, or the clocks differ by more than `max_clock_skew`.
             self.phase = Phase::Ended;
             return RequestStep::Fail;
@@ -305,7 +305,7 @@
 
     /// Decides whether an attempt may be sent to an engine of `group`.
     pub fn before_send(&mut self, group: u64, now_ms: u64) -> SendDecision {
-        let group = if self.scope == DeduplicationScope::All { 0 } else { group };
+        let group = if self.domain == DeduplicationDomain::All { 0 } else { group };
         let decision = match self.phase {
             Phase::WithoutStore => SendDecision::SendNow,
             Phase::Held { recorded: Some(sent), .. } if sent.group == group => SendDecision::SendNow,
@@ -321,7 +321,7 @@
 
     /// Handles the result of writing the send record: `None` if the store did not reply in time.
     pub fn on_recorded(&mut self, sent: SendRecord, written: Option<bool>) -> SendDecision {
-        match (written, self.scope) {
+        match (written, self.domain) {
             (Some(true), _) => {
                 if let Phase::Held { recorded, .. } = &mut self.phase {
                     *recorded = Some(sent);
@@ -329,11 +329,11 @@
                 SendDecision::SendNow
             }
             // All engines deduplicate together, so the attempt may be sent without a record.
-            (_, DeduplicationScope::All) => {
+            (_, DeduplicationDomain::All) => {
                 self.phase = Phase::WithoutStore;
                 SendDecision::SendNow
             }
-            (_, DeduplicationScope::Group) => {
+            (_, DeduplicationDomain::Group) => {
                 // If the store refused the write, this claim no longer holds the key and nothing may be sent any more.
                 if written == Some(false) {
                     self.phase = Phase::Ended;
--- a/shared-store/src/lib.rs
+++ b/shared-store/src/lib.rs
@@ -9,12 +9,12 @@
 //!
 //! ```
 //! use reedwalk_shared_store::idempotency::{
-//!     ClaimEnd, ClaimReply, DeduplicationScope, KeyedRequest, RequestEnd, RequestStep, SendDecision, StoredState,
+//!     ClaimEnd, ClaimReply, DeduplicationDomain, KeyedRequest, RequestEnd, RequestStep, SendDecision, StoredState,
 //! };
 //! use std::time::Duration;
 //!
 //! let (window, max_clock_skew) = (Duration::from_secs(12), Duration::from_millis(500));
-//! let mut request = KeyedRequest::new(DeduplicationScope::Group, false, window, max_clock_skew);
+//! let mut request = KeyedRequest::new(DeduplicationDomain::Group, false, window, max_clock_skew);
 //! assert_eq!(request.on_arrival(true), RequestStep::Claim);
 //!
 //! let reply = ClaimReply { is_claimed: true, lease_left: Duration::ZERO, stored: StoredState::Absent };
--- a/shared-store/tests/schedules/requests.rs
+++ b/shared-store/tests/schedules/requests.rs
@@ -6,7 +6,7 @@
 use crate::test_bed::{TestBed, WINDOW_MS};
 use reedwalk_shared_store::circuit_breaker::FailureKind;
 use reedwalk_shared_store::idempotency::{
-    ClaimEnd, ClaimHolder, DeduplicationScope, KeyedRequest, RequestEnd, RequestStep, SendDecision,
+    ClaimEnd, ClaimHolder, DeduplicationDomain, KeyedRequest, RequestEnd, RequestStep, SendDecision,
     SendRecord,
 };
 use std::time::{Duration, Instant};
@@ -75,7 +75,7 @@
         let now = self.now();
         let NewClaim { holder, is_store_usable } = self.new_claim(gateway, now);
         let mut keyed = KeyedRequest::new(
-            DeduplicationScope::Group,
+            DeduplicationDomain::Group,
             retry > 0,
             Duration::from_millis(WINDOW_MS),
             MAX_CLOCK_SKEW,
