--- a/gateway/src/broker/idempotency.rs
+++ b/gateway/src/broker/idempotency.rs
@@ -10,7 +10,8 @@
 use reedwalk_scheduler::{Deduplication, DeduplicationScope, EngineEntry, RequestId};
 use reedwalk_settings::Deployment;
 use reedwalk_shared_store::idempotency::{
-    ClaimEnd, ClaimHolder, KeyedRequest, RequestEnd, RequestStep, Scope, SendDecision, SendRecord,
+    ClaimEnd, ClaimHolder, DeduplicationDomain, KeyedRequest, RequestEnd, RequestStep, SendDecision,
+    SendRecord,
 };
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -87,9 +88,13 @@
         };
         let deduplication = *deduplication;
         let answer_deadline = now + self.store.options().wait;
-        let scope = if deduplication.scope == DeduplicationScope::All { Scope::All } else { Scope::Group };
+        let domain = if deduplication.scope == DeduplicationScope::All {
+            DeduplicationDomain::All
+        } else {
+            DeduplicationDomain::Group
+        };
         let mut state = KeyedRequest::new(
-            scope,
+            domain,
             request.is_retry,
             deduplication.window,
             self.store.options().clocks_differ,
--- a/gateway/src/quotas.rs
+++ b/gateway/src/quotas.rs
@@ -5,7 +5,7 @@
 use crate::shared_store::client::SharedStoreClient;
 use crate::unix_clock::unix_ms;
 use reedwalk_scheduler::ClassId;
-use reedwalk_shared_store::quota_lease::{EVEN_SHARE, QuotaLease, STORE_DOWN_SHARE, SpendResult};
+use reedwalk_shared_store::quota_lease::{ChargeResult, EVEN_SHARE, QuotaLease, STORE_DOWN_SHARE};
 use std::collections::HashMap;
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -192,15 +192,15 @@
             let result =
                 account.lease().charge(request.units, store_usable && now < deadline, now.into_std());
             match result {
-                SpendResult::Granted => {
+                ChargeResult::Granted => {
                     self.lease_ahead(request, account);
                     return QuotaDecision::Admitted(Charge {
                         request: request.clone(),
                         window: window.number,
                     });
                 }
-                SpendResult::Denied => return QuotaDecision::Exhausted(window.remaining),
-                SpendResult::Lease(wanted) => {
+                ChargeResult::Denied => return QuotaDecision::Exhausted(window.remaining),
+                ChargeResult::Lease(wanted) => {
                     store_usable = self.lease(&request.team, account, request.units, wanted, deadline).await;
                 }
             }
@@ -220,7 +220,7 @@
         let Some(store) = &self.store else { return false };
         let Ok(_turn) = timeout_at(deadline, account.lease_turn.lock()).await else { return false };
         let window = account.window().number;
-        if account.lease().covers(amount) {
+        if account.lease().has_available(amount) {
             return true;
         }
         if !store.is_usable(Instant::now(), deadline) {
@@ -237,7 +237,7 @@
     /// Leases units in the background before they are needed, so that requests need not wait for the store.
     fn lease_ahead(self: &Arc<Self>, request: &QuotaRequest, account: &Account) {
         let Some(store) = &self.store else { return };
-        let Some(wanted) = account.lease().wanted_ahead(Instant::now().into_std()) else { return };
+        let Some(wanted) = account.lease().prefetch_amount(Instant::now().into_std()) else { return };
         if account.lease_turn.try_lock().is_err() {
             return;
         }
