--- a/gateway/src/broker/recovery_guard.rs
+++ b/gateway/src/broker/recovery_guard.rs
@@ -224,5 +224,5 @@
 }
 
 fn key_rules(class: Deduplication) -> KeyRules {
-    KeyRules { one_group: class.scope == KeyScope::All, window: class.window.as_millis() as Millis }
+    KeyRules { single_group: class.scope == KeyScope::All, window: class.window.as_millis() as Millis }
 }
--- a/gateway/src/persistence/restore.rs
+++ b/gateway/src/persistence/restore.rs
@@ -107,7 +107,7 @@
     }
     let ejected_for = Duration::from_millis(record.ejected_until.saturating_sub(now));
     let ejection = confidence(Fact::Failing, Source::Disk, age, 0, contradictions);
-    if ejection == Confidence::Protects && !ejected_for.is_zero() {
+    if ejection == Confidence::RestrictOnly && !ejected_for.is_zero() {
         events.push(BrokerEvent::EjectedByGossip { engine, until: Instant::now() + ejected_for });
     }
     events
--- a/recovery/src/idempotency_keys/tests.rs
+++ b/recovery/src/idempotency_keys/tests.rs
@@ -1,12 +1,12 @@
-//! What a request with an idempotency key may do, by what is known of its key.
+//! Decisions for requests with idempotency keys, depending on what is known about the key.
 
 use super::*;
 use crate::startup_phases::StartupSetup;
 
 const START: Millis = 1_000_000;
-const GROUP_RULES: KeyRules = KeyRules { one_group: false, window: 12_000 };
+const GROUP_RULES: KeyRules = KeyRules { single_group: false, window: 12_000 };
 
-/// The phases at `now` of a gateway that started at [`START`].
+/// The start-up phases at `now` for a gateway that started at [`START`].
 fn phases(now: Millis) -> StartupPhases {
     let mut phases = StartupPhases::new(StartupSetup {
         started: START,
@@ -23,64 +23,67 @@
 }
 
 #[test]
-fn retry_follows_its_first_attempt_or_waits() {
+fn retry_goes_to_the_group_of_its_first_attempt_or_is_delayed() {
     let mut keys = KnownKeys::new(&[sent_key(1, START - 2_000), sent_key(2, START - 12_001)], 12_000, START);
-    let at = START + 500;
+    let now = START + 500;
     assert_eq!(
-        keys.on_request(1, GROUP_RULES, true, &phases(at), at),
+        keys.on_request(1, GROUP_RULES, true, &phases(now), now),
         KeyVerdict::Repeat { group: 3, age: 2_500 }
     );
     assert_eq!(
-        keys.on_request(1, GROUP_RULES, false, &phases(at), at),
+        keys.on_request(1, GROUP_RULES, false, &phases(now), now),
         KeyVerdict::Repeat { group: 3, age: 2_500 }
     );
     assert_eq!(
-        keys.on_request(2, GROUP_RULES, true, &phases(at), at),
+        keys.on_request(2, GROUP_RULES, true, &phases(now), now),
         KeyVerdict::NotBefore(START + 12_000),
-        "its window was over before the restart"
+        "its window ended before the restart"
     );
-    assert_eq!(keys.on_request(9, GROUP_RULES, true, &phases(at), at), KeyVerdict::NotBefore(START + 12_000));
-    assert_eq!(keys.on_request(9, GROUP_RULES, false, &phases(at), at), KeyVerdict::First);
-    let one_group = KeyRules { one_group: true, ..GROUP_RULES };
     assert_eq!(
-        keys.on_request(9, one_group, true, &phases(at), at),
+        keys.on_request(9, GROUP_RULES, true, &phases(now), now),
+        KeyVerdict::NotBefore(START + 12_000)
+    );
+    assert_eq!(keys.on_request(9, GROUP_RULES, false, &phases(now), now), KeyVerdict::First);
+    let single_group = KeyRules { single_group: true, ..GROUP_RULES };
+    assert_eq!(
+        keys.on_request(9, single_group, true, &phases(now), now),
         KeyVerdict::First,
-        "all engines deduplicate together"
+        "all engines form one deduplication group"
     );
     let later = START + 12_000;
     assert_eq!(keys.on_request(9, GROUP_RULES, true, &phases(later), later), KeyVerdict::First);
     assert_eq!(
         keys.on_request(1, GROUP_RULES, true, &phases(later), later),
         KeyVerdict::First,
-        "its window is over"
+        "its window has ended"
     );
 }
 
 #[test]
-fn new_key_is_recorded_once_and_binds_its_group() {
+fn new_key_is_recorded_once_with_its_first_group() {
     let mut keys = KnownKeys::new(&[], 12_000, START);
     assert_eq!(
         keys.on_send(5, Some(1), START + 10),
         Some(KeyRecord { group: Some(1), ..sent_key(5, START + 10) })
     );
     assert_eq!(keys.on_send(5, Some(2), START + 20), None);
-    let at = START + 30;
+    let now = START + 30;
     assert_eq!(
-        keys.on_request(5, GROUP_RULES, true, &phases(at), at),
+        keys.on_request(5, GROUP_RULES, true, &phases(now), now),
         KeyVerdict::Repeat { group: 1, age: 20 }
     );
-    keys.on_send(6, None, at);
+    keys.on_send(6, None, now);
     assert_eq!(
-        keys.on_request(6, GROUP_RULES, true, &phases(at), at),
-        KeyVerdict::NotBefore(at + 12_001),
-        "its group is not known"
+        keys.on_request(6, GROUP_RULES, true, &phases(now), now),
+        KeyVerdict::NotBefore(now + 12_001),
+        "its group is unknown"
     );
-    assert_eq!(keys.active_keys(at).len(), 2);
+    assert_eq!(keys.active_keys(now).len(), 2);
     assert_eq!(keys.active_keys(START + 12_011).len(), 1);
 }
 
 #[test]
-fn clock_step_prolongs_a_key_and_keys_are_bounded() {
+fn clock_step_extends_a_window_and_keys_are_bounded() {
     let mut keys = KnownKeys::new(&[sent_key(1, START + 3_600_000)], 12_000, START);
     assert_eq!(
         keys.on_request(1, GROUP_RULES, true, &phases(START), START),
@@ -93,6 +96,6 @@
     let never_ran = KeyRecord { progress: KeyProgress::NeverRan, ..sent_key(7, START) };
     assert!(
         KnownKeys::new(&[never_ran], 12_000, START).active_keys(START).is_empty(),
-        "only an own observation shows that a key never ran"
+        "only an own observation proves that a key never ran"
     );
 }
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -1,11 +1,12 @@
-//! Decisions of a gateway that recovers from a restart: what it had persisted, how far each fact may be relied on by its
-//! source and age, and what the gateway may do in which start-up phase. No I/O and no clock: files are read and written
-//! through [`snapshot_store::SnapshotFiles`], and every call is given the time, in milliseconds of the Unix clock.
+//! Crash recovery of a gateway: the format of its persisted state, how far restored facts can be trusted given their
+//! source and age, and what the gateway may do in each start-up phase. The crate does no I/O of its own and reads no
+//! clock: files are accessed through [`snapshot_store::SnapshotFiles`], and callers pass the current Unix time in
+//! milliseconds.
 //!
 //! # Example
 //!
-//! A key that was sent before the restart binds its retry to the same group of engines. A retry with an unknown key is
-//! rejected until the window of every key of the process before is over.
+//! A retry of a key that was sent before the restart must go to the same group of engines. A retry with an unknown key is
+//! rejected until the windows of all keys of the previous process have ended.
 //!
 //! ```
 //! use reedwalk_recovery::idempotency_keys::{KeyRules, KeyVerdict, KnownKeys};
@@ -18,7 +19,7 @@
 //! let setup = StartupSetup { started, window, has_peers: false, has_name_server: false };
 //! let phases = StartupPhases::new(setup);
 //!
-//! let rules = KeyRules { one_group: false, window };
+//! let rules = KeyRules { single_group: false, window };
 //! let now = started + 500;
 //! assert_eq!(keys.on_request(7, rules, true, &phases, now), KeyVerdict::Repeat { group: 3, age: 2_500 });
 //! assert_eq!(keys.on_request(8, rules, true, &phases, now), KeyVerdict::NotBefore(started + window));
@@ -32,5 +33,5 @@
 pub mod trust;
 pub mod write_ahead_log;
 
-/// Milliseconds of the Unix clock.
+/// A Unix timestamp or a duration, in milliseconds.
 pub type Millis = u64;
--- a/recovery/src/trust.rs
+++ b/recovery/src/trust.rs
@@ -1,137 +1,137 @@
-//! How far a fact that was stored or received may be relied on. A fact that forbids something is accepted from weak
-//! sources and holds long; one that permits something needs a strong source; a learned statistic is a prior that fresh
-//! samples outweigh. All of it is one table, in the order of `docs/design/recovery.md`.
+//! Rules for how far a stored or received fact can be trusted. A fact that restricts the gateway is accepted from
+//! weak sources and stays valid for long; a fact that permits something requires a strong source; a statistic serves
+//! as a prior that fresh samples outweigh. The rules form one table, in the order of `docs/design/recovery.md`.
 
 use crate::Millis;
 
-/// What is known.
+/// The kinds of facts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fact {
-    /// The operators have taken an engine out, or put it back.
+    /// An operator has taken an engine offline or brought it back online.
     Override,
-    /// An engine drains or has left.
+    /// An engine is draining or was removed.
     Drained,
     /// An engine has restarted.
     Restarted,
-    /// A request with an idempotency key may have run, in this group.
+    /// A request with an idempotency key may have run, in a known group.
     MayHaveRun,
-    /// A request with an idempotency key surely never ran.
+    /// A request with an idempotency key is certain not to have run.
     NeverRan,
-    /// A part of a budget is used up.
+    /// Part of a budget is used up.
     BudgetUsed,
-    /// An engine exists, at this address.
+    /// An engine exists at a known address.
     Listed,
-    /// An engine fails or does not respond.
+    /// An engine is failing or unresponsive.
     Failing,
-    /// How long queries take, at an engine or of a class.
+    /// The query latency of an engine or a class.
     Latency,
 }
 
 /// Where a fact comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The gateway's own valid snapshot.
+    /// The gateway's own snapshot, after validation.
     Disk,
-    /// This number of other gateways, each independently.
+    /// This number of other gateways, reporting independently.
     Peers(usize),
-    /// The name server, or the configuration that the deployment writes at the start.
+    /// The name server, or the configuration provided by the deployment.
     NameServer,
     /// The shared store.
     Store,
-    /// What it has observed itself since the start.
+    /// The gateway's own observations since the start.
     OwnObservation,
 }
 
-/// What contradicts a fact.
+/// Evidence against a fact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Contradictions {
-    /// It is of another incarnation of the engine, or of an earlier serial than one that is known.
+    /// The fact is about another incarnation of the engine, or from an older serial than the known one.
     pub superseded: bool,
-    /// It is of the future, or the clock has gone back since.
+    /// The fact's timestamp is in the future, or the clock has gone back since.
     pub clock: bool,
-    /// The gateway's own fresh observations differ.
+    /// The gateway's own recent observations differ.
     pub observations: bool,
 }
 
-/// How far a fact may be relied on.
+/// How far a fact can be trusted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Confidence {
-    /// Not at all.
-    Nothing,
-    /// It counts as this part of an own sample, until there are own ones.
+    /// The fact must not be used.
+    Untrusted,
+    /// The fact counts as this fraction of an own sample until there are own samples.
     Prior(f64),
-    /// It may forbid something, and never permit anything.
-    Protects,
-    /// It may be relied on in full.
-    Holds,
+    /// The fact may restrict what the gateway does, but must not permit anything.
+    RestrictOnly,
+    /// The fact can be trusted in full.
+    Full,
 }
 
-/// Gateways that must report the same where one alone could be wrong or byzantine.
-const MIN_PEERS: usize = 2;
-/// How long a stored or reported failure of an engine counts, in milliseconds: as long as a gossip report.
+/// Number of gateways that must agree on a report, because a single one could be wrong or byzantine.
+const MIN_AGREEING_PEERS: usize = 2;
+/// How long a stored or reported engine failure stays valid: as long as a gossip report.
 const FAILURE_TTL: Millis = 10_000;
-/// The weight of a stored latency halves in this time, in milliseconds: a restart within minutes finds about
-/// the same latencies.
+/// Time in which the weight of a stored latency halves. Latencies are about the same after a restart within minutes.
 const STATS_HALF_LIFE: Millis = 600_000;
-/// A prior below this weight is not used, in samples: a fresh sample outweighs it at once.
-const MIN_PRIOR: f64 = 0.05;
+/// Minimum weight of a prior, in samples; a single fresh sample would outweigh anything below it.
+const MIN_PRIOR_WEIGHT: f64 = 0.05;
 
-/// How far a fact of this source and age may be relied on. `age` is in milliseconds; `window` is how long engines
-/// deduplicate keys.
+/// How far a fact from this source and of this age can be trusted. `window` is how long engines deduplicate keys.
 pub fn confidence(
     fact: Fact,
     source: Source,
     age: Millis,
     window: Millis,
-    against: Contradictions,
+    contradictions: Contradictions,
 ) -> Confidence {
-    let several = |n: usize| n >= MIN_PEERS;
+    let is_corroborated = |n: usize| n >= MIN_AGREEING_PEERS;
     match (fact, source) {
-        // An operator's override takes precedence over all else until it is withdrawn.
-        (Fact::Override, Source::Disk | Source::OwnObservation) => Confidence::Holds,
-        (Fact::Override, _) => Confidence::Protects,
-        // Only a later incarnation of the engine or a later list ends a drain.
-        (Fact::Drained, _) if against.superseded => Confidence::Nothing,
-        (Fact::Drained, Source::NameServer | Source::OwnObservation) => Confidence::Holds,
-        (Fact::Drained, _) => Confidence::Protects,
-        // A restart may protect a warm engine needlessly; it never ends a slow start early.
-        (Fact::Restarted, Source::NameServer | Source::OwnObservation) => Confidence::Holds,
-        (Fact::Restarted, Source::Peers(n)) if !several(n) => Confidence::Nothing,
-        (Fact::Restarted, _) if against.clock || against.superseded => Confidence::Nothing,
-        (Fact::Restarted, _) => Confidence::Protects,
-        // Inside its window a key is bound, whoever reports it; a wrong clock prolongs the window, and never ends it.
-        (Fact::MayHaveRun, _) if age > window && !against.clock => Confidence::Nothing,
-        (Fact::MayHaveRun, Source::OwnObservation | Source::Disk | Source::Store) => Confidence::Holds,
-        (Fact::MayHaveRun, Source::Peers(_) | Source::NameServer) => Confidence::Protects,
-        // That nothing ran permits a repeat elsewhere, so only an own observation counts.
-        (Fact::NeverRan, Source::OwnObservation) => Confidence::Holds,
-        (Fact::NeverRan, _) => Confidence::Nothing,
-        (Fact::BudgetUsed, Source::Disk | Source::Store | Source::OwnObservation) => Confidence::Holds,
-        (Fact::BudgetUsed, _) => Confidence::Protects,
-        // A stored endpoint is not enough to send to once the name server has answered.
-        (Fact::Listed, Source::NameServer) if !against.superseded => Confidence::Holds,
-        (Fact::Listed, Source::Disk) if !against.superseded && !against.observations => {
+        // An operator's override takes precedence over everything else until it is withdrawn.
+        (Fact::Override, Source::Disk | Source::OwnObservation) => Confidence::Full,
+        (Fact::Override, _) => Confidence::RestrictOnly,
+        // A drain only ends with a later incarnation of the engine or a later endpoint list.
+        (Fact::Drained, _) if contradictions.superseded => Confidence::Untrusted,
+        (Fact::Drained, Source::NameServer | Source::OwnObservation) => Confidence::Full,
+        (Fact::Drained, _) => Confidence::RestrictOnly,
+        // A false restart report at worst puts a warm engine into slow start; it never ends a slow start early.
+        (Fact::Restarted, Source::NameServer | Source::OwnObservation) => Confidence::Full,
+        (Fact::Restarted, Source::Peers(n)) if !is_corroborated(n) => Confidence::Untrusted,
+        (Fact::Restarted, _) if contradictions.clock || contradictions.superseded => Confidence::Untrusted,
+        (Fact::Restarted, _) => Confidence::RestrictOnly,
+        // Inside its window a key is bound to its group, whoever reports it. A wrong clock can only extend the window.
+        (Fact::MayHaveRun, _) if age > window && !contradictions.clock => Confidence::Untrusted,
+        (Fact::MayHaveRun, Source::OwnObservation | Source::Disk | Source::Store) => Confidence::Full,
+        (Fact::MayHaveRun, Source::Peers(_) | Source::NameServer) => Confidence::RestrictOnly,
+        // This would permit a repeat in another group, so only an own observation is accepted.
+        (Fact::NeverRan, Source::OwnObservation) => Confidence::Full,
+        (Fact::NeverRan, _) => Confidence::Untrusted,
+        (Fact::BudgetUsed, Source::Disk | Source::Store | Source::OwnObservation) => Confidence::Full,
+        (Fact::BudgetUsed, _) => Confidence::RestrictOnly,
+        // Stored endpoints are only a prior: once the name server has answered, its list decides.
+        (Fact::Listed, Source::NameServer) if !contradictions.superseded => Confidence::Full,
+        (Fact::Listed, Source::Disk) if !contradictions.superseded && !contradictions.observations => {
             Confidence::Prior(1.0)
         }
-        (Fact::Listed, _) => Confidence::Nothing,
-        (Fact::Failing | Fact::Latency, _) if against.superseded || against.observations => {
-            Confidence::Nothing
+        (Fact::Listed, _) => Confidence::Untrusted,
+        (Fact::Failing | Fact::Latency, _) if contradictions.superseded || contradictions.observations => {
+            Confidence::Untrusted
         }
-        (Fact::Failing | Fact::Latency, Source::OwnObservation) => Confidence::Holds,
-        (Fact::Failing | Fact::Latency, _) if against.clock => Confidence::Nothing,
-        (Fact::Failing, Source::Peers(n)) if several(n) && age <= FAILURE_TTL => Confidence::Protects,
-        (Fact::Failing, Source::Disk) if age <= FAILURE_TTL => Confidence::Protects,
-        (Fact::Failing, _) => Confidence::Nothing,
-        (Fact::Latency, Source::Peers(n)) if !several(n) => Confidence::Nothing,
+        (Fact::Failing | Fact::Latency, Source::OwnObservation) => Confidence::Full,
+        (Fact::Failing | Fact::Latency, _) if contradictions.clock => Confidence::Untrusted,
+        (Fact::Failing, Source::Peers(n)) if is_corroborated(n) && age <= FAILURE_TTL => {
+            Confidence::RestrictOnly
+        }
+        (Fact::Failing, Source::Disk) if age <= FAILURE_TTL => Confidence::RestrictOnly,
+        (Fact::Failing, _) => Confidence::Untrusted,
+        (Fact::Latency, Source::Peers(n)) if !is_corroborated(n) => Confidence::Untrusted,
         (Fact::Latency, _) => decayed_prior(age),
     }
 }
 
-/// The prior of a latency of this age: `0.5 ^ (age / half-life)`, or nothing where that is negligible.
+/// The prior of a latency of this age, with weight `0.5 ^ (age / half-life)`; untrusted if the weight is negligible.
 fn decayed_prior(age: Millis) -> Confidence {
     let halvings = age as f64 / STATS_HALF_LIFE as f64;
     let weight = 0.5f64.powf(halvings);
-    if weight >= MIN_PRIOR { Confidence::Prior(weight) } else { Confidence::Nothing }
+    if weight >= MIN_PRIOR_WEIGHT { Confidence::Prior(weight) } else { Confidence::Untrusted }
 }
 
 #[cfg(test)]
