--- a/gateway/src/persistence/folder.rs
+++ b/gateway/src/persistence/folder.rs
@@ -68,7 +68,7 @@
         std::fs::rename(self.0.join(from), self.0.join(to))
     }
 
-    fn sync_folder(&mut self) -> Result<(), Error> {
+    fn sync_directory(&mut self) -> Result<(), Error> {
         File::open(&self.0)?.sync_all()
     }
 
--- a/gateway/src/persistence/inspect.rs
+++ b/gateway/src/persistence/inspect.rs
@@ -174,11 +174,11 @@
     let stored = snapshot_codec::decode(&bytes).map_err(SnapshotReadError::Format)?;
     let log_file = file.replacen(SNAPSHOT_PREFIX, LOG_PREFIX, 1);
     let log = folder.read(&log_file, MAX_LOG_BYTES).unwrap_or_default();
-    let Replay { entries, whole_bytes } = write_ahead_log::replay(stored.owner, stored.generation, &log);
+    let Replay { entries, valid_bytes } = write_ahead_log::replay(stored.owner, stored.generation, &log);
     Ok(SnapshotContent {
         age_s: unix_ms().saturating_sub(stored.snapshot.written) / 1000,
         logged_keys: entries.len(),
-        torn_bytes: log.len() - whole_bytes,
+        torn_bytes: log.len() - valid_bytes,
         stored,
     })
 }
--- a/gateway/src/persistence/restore.rs
+++ b/gateway/src/persistence/restore.rs
@@ -46,7 +46,7 @@
     let snapshot = &found.snapshot;
     let age_ms = unix_ms().saturating_sub(snapshot.written);
     info!(log, "persisted state read"; "generation" => ?found.generation, "engines" => snapshot.engines.len(),
-        "classes" => snapshot.classes.len(), "keys" => snapshot.keys.len(), "torn_bytes" => found.torn,
+        "classes" => snapshot.classes.len(), "keys" => snapshot.keys.len(), "torn_bytes" => found.torn_bytes,
         "age_ms" => age_ms);
     found
 }
--- a/gateway/src/persistence/writer.rs
+++ b/gateway/src/persistence/writer.rs
@@ -129,7 +129,7 @@
             let mut snapshot = self.snapshot(parts);
             // Keys that were sent after the snapshot was taken.
             for key in &keys {
-                snapshot.add(*key);
+                snapshot.merge_key(*key);
             }
             store.save(&mut self.folder, &snapshot.sanitized())?;
             counters.snapshots += 1;
--- a/recovery/src/snapshot/tests.rs
+++ b/recovery/src/snapshot/tests.rs
@@ -1,4 +1,4 @@
-//! Later records of a key, and the limits of a snapshot.
+//! Merging of key records, and validation and limits of a snapshot.
 
 use super::*;
 
@@ -7,20 +7,20 @@
 }
 
 #[test]
-fn record_that_may_have_run_is_not_undone() {
+fn record_that_may_have_run_is_not_overridden() {
     let mut snapshot = Snapshot::default();
-    snapshot.add(key(1, KeyProgress::Sent, 100));
-    snapshot.add(key(1, KeyProgress::NeverRan, 300));
+    snapshot.merge_key(key(1, KeyProgress::Sent, 100));
+    snapshot.merge_key(key(1, KeyProgress::NeverRan, 300));
     assert_eq!(snapshot.keys, [key(1, KeyProgress::Sent, 100)]);
-    snapshot.add(key(1, KeyProgress::Served, 400));
+    snapshot.merge_key(key(1, KeyProgress::Served, 400));
     assert_eq!(snapshot.keys, [key(1, KeyProgress::Served, 100)]);
-    snapshot.add(key(2, KeyProgress::NeverRan, 100));
-    snapshot.add(key(2, KeyProgress::Sent, 200));
+    snapshot.merge_key(key(2, KeyProgress::NeverRan, 100));
+    snapshot.merge_key(key(2, KeyProgress::Sent, 200));
     assert_eq!(snapshot.keys[1], key(2, KeyProgress::Sent, 200));
 }
 
 #[test]
-fn invalid_entries_are_dropped_and_the_rest_is_bounded() {
+fn invalid_and_excess_entries_are_dropped() {
     let engine = |id: &str, slowdown| EngineRecord { id: id.into(), started: 0, slowdown, ejected_until: 0 };
     let class = |name: &str, exec| ClassRecord { name: name.into(), exec, best: None, width: (1.0, 1.0) };
     let snapshot = Snapshot {
@@ -37,5 +37,9 @@
     let sanitized = snapshot.sanitized();
     assert_eq!(sanitized.engines.iter().map(|engine| &engine.id[..]).collect::<Vec<_>>(), ["a"]);
     assert_eq!(sanitized.classes.iter().map(|class| &class.name[..]).collect::<Vec<_>>(), ["c"]);
-    assert_eq!((sanitized.keys.len(), sanitized.keys[0].key), (MAX_KEYS, 19_999), "the latest keys stay");
+    assert_eq!(
+        (sanitized.keys.len(), sanitized.keys[0].key),
+        (MAX_KEYS, 19_999),
+        "the most recent keys are kept"
+    );
 }
--- a/recovery/src/snapshot_codec.rs
+++ b/recovery/src/snapshot_codec.rs
@@ -1,6 +1,7 @@
-//! The snapshot as bytes: a header that names its owner, sections that each have a length and a checksum, and an end that
-//! counts them. Bytes that are cut off, corrupted, of another host, another deployment or an unknown version are no
-//! snapshot, and no part of them is used. A section of an unknown kind is skipped, so that later versions can add some.
+//! Binary encoding of a snapshot: a header with the format version, sections that each have a length and a checksum,
+//! and an end section with their number. The first section names the owner. A snapshot that is truncated, corrupted,
+//! from another host or deployment, or of an unknown version is rejected as a whole. Sections of an unknown kind are
+//! skipped, so that later versions can add new ones.
 
 use crate::Millis;
 use crate::snapshot::{ClassRecord, EngineRecord, KeyRecord, Snapshot};
@@ -8,87 +9,88 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The first bytes of a snapshot.
+/// Magic number at the start of a snapshot.
 const MAGIC: &[u8; 8] = b"reedwalk";
-/// Version of the format; another one is rejected.
+/// Format version; snapshots of any other version are rejected.
 pub const VERSION: u16 = 1;
-/// Size of a snapshot at most, in bytes: more than the limits of its parts allow, and little enough to be read at once.
+/// Maximum size of a snapshot, in bytes: above what the limits of its parts add up to, and small enough to be read at
+/// once.
 pub const MAX_SNAPSHOT_BYTES: usize = 8 * 1024 * 1024;
-/// Size of the header in bytes: 8 of the magic, 2 of the version.
+/// Size of the header in bytes: 8 for the magic number and 2 for the version.
 const HEADER_BYTES: usize = 10;
-/// Size of what precedes a section's content in bytes: 1 of the kind, 4 of the length, 4 of the checksum.
+/// Size of a section header in bytes: 1 for the kind, 4 for the length and 4 for the checksum.
 const SECTION_HEADER_BYTES: usize = 9;
-/// A snapshot may be ahead of the local clock by this, in milliseconds; beyond it one of the two clocks is wrong.
+/// How far a snapshot's timestamp may be ahead of the local clock; beyond this, one of the two clocks is wrong.
 pub const MAX_CLOCK_SKEW: Millis = 60_000;
 
-/// The owner of a snapshot. Another gateway, also one that was given a copy of the directory, may not use it.
+/// The owner of a snapshot. No other gateway may use it, even if it was given a copy of the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotOwner {
-    /// Identifier of the host.
+    /// Hash that identifies the host.
     pub host: u64,
     /// Hash of the gateway's name.
     pub gateway: u64,
-    /// Digest of the settings: classes, kinds, rules.
+    /// Digest of the settings that the snapshot depends on.
     pub settings: u64,
 }
 
-/// Why bytes are not a snapshot of this gateway.
+/// Why a snapshot was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// Larger than any snapshot.
+    /// Larger than [`MAX_SNAPSHOT_BYTES`].
     TooLarge,
-    /// It does not begin as a snapshot.
+    /// The header or the magic number is missing.
     NotASnapshot,
-    /// Of a version that this program does not know.
+    /// Of an unknown format version.
     UnknownVersion(u16),
-    /// It is cut off.
+    /// Sections or parts of them are missing.
     Truncated,
-    /// A checksum does not match.
+    /// A checksum, a field or the generation does not match.
     Corrupted,
-    /// Written on another host; the directory was copied.
+    /// Written on another host, so the directory was copied.
     OtherHost,
     /// Written by another gateway.
     OtherGateway,
-    /// Written under other settings.
+    /// Written with different settings.
     OtherSettings,
-    /// Written in the future, by the local clock.
+    /// The timestamp is ahead of the local clock by more than [`MAX_CLOCK_SKEW`].
     Future,
 }
 
 impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLarge => write!(f, "larger than any snapshot"),
+            Self::TooLarge => write!(f, "exceeds the maximum size of a snapshot"),
             Self::NotASnapshot => write!(f, "not a snapshot"),
-            Self::UnknownVersion(version) => write!(f, "of version {version}, which is not known here"),
+            Self::UnknownVersion(version) => write!(f, "unknown format version {version}"),
             Self::Truncated => write!(f, "truncated"),
             Self::Corrupted => write!(f, "corrupted: a checksum or a field does not match"),
             Self::OtherHost => write!(f, "written on another host"),
             Self::OtherGateway => write!(f, "written by another gateway"),
-            Self::OtherSettings => write!(f, "written under other settings"),
-            Self::Future => write!(f, "written in the future by this host's clock"),
+            Self::OtherSettings => write!(f, "written with different settings"),
+            Self::Future => write!(f, "timestamp is ahead of this host's clock"),
         }
     }
 }
 
 impl std::error::Error for SnapshotError {}
 
-/// Kind of the section with [`Origin`].
-const ORIGIN_SECTION: u8 = 1;
-/// Kind of the section with the engines.
+/// Kind of the section with [`SnapshotMetadata`].
+const METADATA_SECTION: u8 = 1;
+/// Kind of the section with the engine records.
 const ENGINES_SECTION: u8 = 2;
-/// Kind of the section with the classes.
+/// Kind of the section with the class records.
 const CLASSES_SECTION: u8 = 3;
-/// Kind of the section with the keys.
+/// Kind of the section with the key records.
 const KEYS_SECTION: u8 = 4;
-/// Kind of the last section, which has the number of those before it.
+/// Kind of the last section, which holds the number of sections before it.
 const END_SECTION: u8 = 0xff;
-/// Sections that are written before the last one.
-const SECTIONS: u32 = 4;
+/// Number of sections before the end section.
+const SECTION_COUNT: u32 = 4;
 
-/// Whose snapshot it is, and when it was written. Stored by position.
+/// Owner, generation and time of a snapshot. Encoded by position.
 #[derive(Serialize, Deserialize)]
-struct Origin {
+struct SnapshotMetadata {
     owner: SnapshotOwner,
     generation: u64,
     written: Millis,
@@ -97,8 +99,8 @@
 }
 
 /// Appends a section.
-fn put_section<T: Serialize>(bytes: &mut Vec<u8>, kind: u8, content: &T) {
-    // Serializing plain data to the heap does not fail.
+fn append_section<T: Serialize>(bytes: &mut Vec<u8>, kind: u8, content: &T) {
+    // Serializing plain data into a Vec does not fail.
     let content = postcard::to_allocvec(content).unwrap_or_default();
     let begin = bytes.len();
     bytes.push(kind);
@@ -113,33 +115,37 @@
     let mut bytes = MAGIC.to_vec();
     bytes.extend_from_slice(&VERSION.to_le_bytes());
     let Snapshot { written, serial, live_gateways, .. } = *snapshot;
-    put_section(&mut bytes, ORIGIN_SECTION, &Origin { owner, generation, written, serial, live_gateways });
-    put_section(&mut bytes, ENGINES_SECTION, &snapshot.engines);
-    put_section(&mut bytes, CLASSES_SECTION, &snapshot.classes);
-    put_section(&mut bytes, KEYS_SECTION, &snapshot.keys);
-    put_section(&mut bytes, END_SECTION, &SECTIONS);
+    append_section(
+        &mut bytes,
+        METADATA_SECTION,
+        &SnapshotMetadata { owner, generation, written, serial, live_gateways },
+    );
+    append_section(&mut bytes, ENGINES_SECTION, &snapshot.engines);
+    append_section(&mut bytes, CLASSES_SECTION, &snapshot.classes);
+    append_section(&mut bytes, KEYS_SECTION, &snapshot.keys);
+    append_section(&mut bytes, END_SECTION, &SECTION_COUNT);
     bytes
 }
 
-/// A snapshot as it was stored.
+/// A decoded snapshot with its owner and generation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredSnapshot {
-    /// Its owner.
+    /// Owner of the snapshot.
     pub owner: SnapshotOwner,
-    /// Its number among its owner's snapshots.
+    /// Generation number, which rises with each snapshot of the owner.
     pub generation: u64,
-    /// Its content.
+    /// Content of the snapshot.
     pub snapshot: Snapshot,
 }
 
-/// A section whose checksum matches.
+/// A section whose checksum has been verified.
 struct Section<'a> {
     kind: u8,
     content: &'a [u8],
 }
 
 impl<'a> Section<'a> {
-    /// Reads the first section of `bytes`; returns the bytes behind it too.
+    /// Reads the first section of `bytes`; also returns the bytes after it.
     fn read(bytes: &'a [u8]) -> Result<(Self, &'a [u8]), SnapshotError> {
         let (header, rest) = bytes.split_at_checked(SECTION_HEADER_BYTES).ok_or(SnapshotError::Truncated)?;
         let length = u32::from_le_bytes([header[1], header[2], header[3], header[4]]) as usize;
@@ -160,8 +166,8 @@
     }
 }
 
-/// Checks the header; returns the sections.
-fn sections(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
+/// Checks the header and returns the bytes after it, which hold the sections.
+fn check_header(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
     if bytes.len() > MAX_SNAPSHOT_BYTES {
         return Err(SnapshotError::TooLarge);
     }
@@ -175,42 +181,42 @@
     }
 }
 
-/// Decodes a snapshot of any owner.
+/// Decodes a snapshot, whoever its owner is.
 ///
 /// # Errors
-/// Why the bytes are not a snapshot; nothing of them is used then.
+/// If any part of the bytes is invalid; no part of them is used then.
 pub fn decode(bytes: &[u8]) -> Result<StoredSnapshot, SnapshotError> {
-    let mut rest = sections(bytes)?;
-    let mut origin = None::<Origin>;
+    let mut rest = check_header(bytes)?;
+    let mut metadata = None::<SnapshotMetadata>;
     let mut snapshot = Snapshot::default();
-    let mut count = 0u32;
+    let mut sections_read = 0u32;
     loop {
-        let (section, behind) = Section::read(rest)?;
+        let (section, remainder) = Section::read(rest)?;
         match section.kind {
-            ORIGIN_SECTION => origin = Some(section.decode()?),
+            METADATA_SECTION => metadata = Some(section.decode()?),
             ENGINES_SECTION => snapshot.engines = section.decode::<Vec<EngineRecord>>()?,
             CLASSES_SECTION => snapshot.classes = section.decode::<Vec<ClassRecord>>()?,
             KEYS_SECTION => snapshot.keys = section.decode::<Vec<KeyRecord>>()?,
-            END_SECTION if section.decode::<u32>()? == count && behind.is_empty() => break,
+            END_SECTION if section.decode::<u32>()? == sections_read && remainder.is_empty() => break,
             END_SECTION => return Err(SnapshotError::Truncated),
-            // Of a later version.
+            // Added by a later version.
             _ => {}
         }
-        count += 1;
-        rest = behind;
+        sections_read += 1;
+        rest = remainder;
     }
-    let origin = origin.ok_or(SnapshotError::Truncated)?;
-    snapshot.written = origin.written;
-    snapshot.serial = origin.serial;
-    snapshot.live_gateways = origin.live_gateways;
+    let metadata = metadata.ok_or(SnapshotError::Truncated)?;
+    snapshot.written = metadata.written;
+    snapshot.serial = metadata.serial;
+    snapshot.live_gateways = metadata.live_gateways;
     let snapshot = snapshot.sanitized();
-    Ok(StoredSnapshot { owner: origin.owner, generation: origin.generation, snapshot })
+    Ok(StoredSnapshot { owner: metadata.owner, generation: metadata.generation, snapshot })
 }
 
-/// Checks that a snapshot belongs to `owner` and was not written in the future.
+/// Checks that a snapshot belongs to `owner` and that its timestamp is not in the future.
 ///
 /// # Errors
-/// Why it can't be used.
+/// If one of these checks fails.
 pub fn check_owner(
     stored: StoredSnapshot,
     owner: SnapshotOwner,
@@ -223,5 +229,5 @@
         (settings == owner.settings, SnapshotError::OtherSettings),
         (stored.snapshot.written <= now + MAX_CLOCK_SKEW, SnapshotError::Future),
     ];
-    checks.into_iter().find(|(holds, _)| !holds).map_or(Ok(stored), |(_, error)| Err(error))
+    checks.into_iter().find(|(is_met, _)| !is_met).map_or(Ok(stored), |(_, error)| Err(error))
 }
--- a/recovery/src/snapshot_store.rs
+++ b/recovery/src/snapshot_store.rs
@@ -1,7 +1,7 @@
-//! Snapshots and their write-ahead logs in a directory. Each snapshot is a generation of its own: written to a temporary
-//! file, synced, renamed, and the directory synced; the generation before stays until the next. Recovery takes the newest
-//! valid snapshot and every log that is there: a log is bound to its owner and generation, so it counts also where its
-//! snapshot is damaged.
+//! Storage of snapshots and their write-ahead logs in a directory. Each snapshot is a new generation: it is written
+//! to a temporary file, synced and renamed, and then the directory is synced. The previous generation is kept as a
+//! fallback until the next snapshot. Recovery loads the newest valid snapshot and replays every log in the directory:
+//! a log is bound to its owner and generation by its checksums, so it is usable even if its snapshot is damaged.
 
 use crate::snapshot::{KeyRecord, Snapshot};
 use crate::snapshot_codec::{self, MAX_SNAPSHOT_BYTES, SnapshotError, SnapshotOwner, StoredSnapshot};
@@ -9,59 +9,59 @@
 use std::error::Error;
 use std::fmt;
 
-/// The directory that holds the files.
+/// Access to the directory that holds snapshots and logs.
 pub trait SnapshotFiles {
-    /// Why an operation failed.
+    /// Error of a file operation.
     type Error: Error + 'static;
-    /// Names of all files.
+    /// Lists the names of all files.
     ///
     /// # Errors
-    /// Where the directory can't be read.
+    /// If the directory cannot be read.
     fn names(&self) -> Result<Vec<String>, Self::Error>;
-    /// At most `max_bytes` of a file, and one more where it is longer.
+    /// Reads at most `max_bytes` of a file, plus one byte if it is longer.
     ///
     /// # Errors
-    /// Where it can't be read.
+    /// If the file cannot be read.
     fn read(&self, name: &str, max_bytes: usize) -> Result<Vec<u8>, Self::Error>;
-    /// Replaces the content of a file.
+    /// Creates a file or replaces its content.
     ///
     /// # Errors
-    /// Where that failed; a part of it may have been written.
+    /// If the write failed; part of the content may have been written.
     fn write(&mut self, name: &str, bytes: &[u8]) -> Result<(), Self::Error>;
     /// Appends to a file.
     ///
     /// # Errors
-    /// Where that failed; a part of it may have been written.
+    /// If the write failed; part of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), Self::Error>;
-    /// Returns once what was written to a file survives a loss of power.
+    /// Syncs a file: on return, its content survives a power loss.
     ///
     /// # Errors
-    /// Where that is not certain.
+    /// If durability is not certain.
     fn sync(&mut self, name: &str) -> Result<(), Self::Error>;
-    /// Renames a file, and replaces one that has the new name.
+    /// Renames a file, replacing any file with the new name.
     ///
     /// # Errors
-    /// Where that failed.
+    /// If the rename failed.
     fn rename(&mut self, from: &str, to: &str) -> Result<(), Self::Error>;
-    /// Returns once the names in the directory survive a loss of power.
+    /// Syncs the directory: on return, the file names in it survive a power loss.
     ///
     /// # Errors
-    /// Where that is not certain.
-    fn sync_folder(&mut self) -> Result<(), Self::Error>;
+    /// If durability is not certain.
+    fn sync_directory(&mut self) -> Result<(), Self::Error>;
     /// Removes a file.
     ///
     /// # Errors
-    /// Where that failed.
+    /// If the removal failed.
     fn remove(&mut self, name: &str) -> Result<(), Self::Error>;
 }
 
-/// Name of the file that a snapshot is written to before it is renamed.
+/// Name of the temporary file that a new snapshot is written to.
 pub const TEMPORARY_FILE: &str = "beside";
-/// Prefix of the files of snapshots, before their generation.
+/// Prefix of snapshot file names, followed by the generation.
 pub const SNAPSHOT_PREFIX: &str = "record-";
-/// Prefix of the files of logs, before their generation.
+/// Prefix of log file names, followed by the generation.
 pub const LOG_PREFIX: &str = "log-";
-/// Stands for the directory itself among the names of unused files.
+/// Name of the directory itself in [`UnusedFile::name`].
 pub const DIRECTORY: &str = ".";
 
 fn snapshot_name(generation: u64) -> String {
@@ -72,7 +72,7 @@
     format!("{LOG_PREFIX}{generation}")
 }
 
-/// The generations of the files with this prefix, in rising order.
+/// The generations of the files with this prefix, in ascending order.
 fn generations(names: &[String], prefix: &str) -> Vec<u64> {
     let numbers = names.iter().filter_map(|name| name.strip_prefix(prefix)?.parse().ok());
     let mut generations: Vec<_> = numbers.collect();
@@ -80,12 +80,12 @@
     generations
 }
 
-/// Why a file was not used by the recovery.
+/// Why recovery did not use a file.
 #[derive(Debug, PartialEq, Eq)]
 pub enum UnusedReason<E> {
-    /// It could not be read.
+    /// The file could not be read.
     Unreadable(E),
-    /// Its content is not a snapshot of this gateway.
+    /// The content is not a valid snapshot of this gateway.
     Invalid(SnapshotError),
 }
 
@@ -107,38 +107,44 @@
     }
 }
 
-/// A file that the recovery did not use.
+/// A file that recovery did not use.
 #[derive(Debug, PartialEq, Eq)]
 pub struct UnusedFile<E> {
-    /// Its name; [`DIRECTORY`] where the names of the files could not be read.
+    /// Name of the file; [`DIRECTORY`] if the directory could not be listed.
     pub name: String,
-    /// Why it was not used.
+    /// Why the file was not used.
     pub reason: UnusedReason<E>,
 }
 
-/// What was recovered from a directory; `E` is the error of its files.
+/// The state that was recovered from a directory; `E` is the error type of its files.
 #[derive(Debug)]
 pub struct RecoveredState<E> {
-    /// The snapshot with the entries of the logs.
+    /// The snapshot, merged with the log entries.
     pub snapshot: Snapshot,
-    /// Generation of the snapshot; `None` if there was none, and only logs count, if there are any.
+    /// Generation of the snapshot; `None` if there was no valid one and only logs were replayed, if any.
     pub generation: Option<u64>,
-    /// Files that were not used, and why.
+    /// Files that were not used, with the reason.
     pub unused: Vec<UnusedFile<E>>,
-    /// Entries of logs that were used.
-    pub entries: usize,
-    /// Bytes behind the last entry that was used, in all logs.
-    pub torn: usize,
+    /// Number of log entries that were replayed.
+    pub replayed_entries: usize,
+    /// Total size of what follows the last valid entry in each log, in bytes.
+    pub torn_bytes: usize,
 }
 
 impl<E> Default for RecoveredState<E> {
     fn default() -> Self {
-        Self { snapshot: Snapshot::default(), generation: None, unused: Vec::new(), entries: 0, torn: 0 }
+        Self {
+            snapshot: Snapshot::default(),
+            generation: None,
+            unused: Vec::new(),
+            replayed_entries: 0,
+            torn_bytes: 0,
+        }
     }
 }
 
 impl<E> RecoveredState<E> {
-    fn ignore(&mut self, name: String, reason: UnusedReason<E>) {
+    fn add_unused(&mut self, name: String, reason: UnusedReason<E>) {
         self.unused.push(UnusedFile { name, reason });
     }
 
@@ -154,17 +160,17 @@
             let bytes = match files.read(&name, MAX_SNAPSHOT_BYTES) {
                 Ok(bytes) => bytes,
                 Err(error) => {
-                    self.ignore(name, UnusedReason::Unreadable(error));
+                    self.add_unused(name, UnusedReason::Unreadable(error));
                     continue;
                 }
             };
-            match decode_own(&bytes, generation, owner, now) {
+            match decode_generation(&bytes, generation, owner, now) {
                 Ok(stored) => {
                     self.generation = Some(generation);
                     self.snapshot = stored.snapshot;
                     return;
                 }
-                Err(error) => self.ignore(name, UnusedReason::Invalid(error)),
+                Err(error) => self.add_unused(name, UnusedReason::Invalid(error)),
             }
         }
     }
@@ -174,17 +180,17 @@
         match files.read(&name, write_ahead_log::MAX_LOG_BYTES) {
             Ok(bytes) => {
                 let replay = write_ahead_log::replay(owner, generation, &bytes);
-                self.entries += replay.entries.len();
-                self.torn += bytes.len() - replay.whole_bytes;
-                replay.entries.into_iter().for_each(|entry| self.snapshot.add(entry));
+                self.replayed_entries += replay.entries.len();
+                self.torn_bytes += bytes.len() - replay.valid_bytes;
+                replay.entries.into_iter().for_each(|entry| self.snapshot.merge_key(entry));
             }
-            Err(error) => self.ignore(name, UnusedReason::Unreadable(error)),
+            Err(error) => self.add_unused(name, UnusedReason::Unreadable(error)),
         }
     }
 }
 
-/// Decodes the snapshot of a file, which must be of this generation: a file under another's name is a copy.
-fn decode_own(
+/// Decodes a snapshot and checks that it is of the generation in its file name; otherwise the file is a renamed copy.
+fn decode_generation(
     bytes: &[u8],
     generation: u64,
     owner: SnapshotOwner,
@@ -195,15 +201,15 @@
     if stored.generation == generation { Ok(stored) } else { Err(SnapshotError::Corrupted) }
 }
 
-/// Recovers what a gateway with this owner had persisted. It never fails: files that can't be used are listed.
+/// Recovers the persisted state of this owner. It never fails: unusable files are skipped and listed in the result.
 pub fn recover<F: SnapshotFiles>(files: &F, owner: SnapshotOwner, now: Millis) -> RecoveredState<F::Error> {
     let mut recovered = RecoveredState::default();
     let names = files.names().unwrap_or_else(|error| {
-        recovered.ignore(DIRECTORY.to_owned(), UnusedReason::Unreadable(error));
+        recovered.add_unused(DIRECTORY.to_owned(), UnusedReason::Unreadable(error));
         Vec::new()
     });
     recovered.load_newest_snapshot(files, &names, owner, now);
-    // Older logs count as well: where the sync of the directory failed after a rename, the log before was still written.
+    // Replay older logs as well: if syncing the directory failed after a rename, entries still went to the previous log.
     for generation in generations(&names, LOG_PREFIX) {
         recovered.replay_log(files, generation, owner);
     }
@@ -211,20 +217,20 @@
     recovered
 }
 
-/// An operation of [`SnapshotFiles`] that a [`SnapshotStore`] calls.
+/// A file operation of a [`SnapshotStore`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileOperation {
-    /// A new snapshot or an empty log is written.
+    /// Writing a new snapshot or an empty log.
     Write,
-    /// Entries are appended to the log.
+    /// Appending entries to the log.
     Append,
-    /// What was written to a file is made to survive a loss of power.
+    /// Syncing a file.
     Sync,
-    /// The new snapshot gets its name.
+    /// Renaming the new snapshot to its final name.
     Rename,
-    /// The names in the directory are made to survive a loss of power.
+    /// Syncing the directory.
     SyncDirectory,
-    /// Files of older generations are listed and removed.
+    /// Listing and removing files of older generations.
     RemoveOld,
 }
 
@@ -241,23 +247,23 @@
     }
 }
 
-/// Why something was not persisted; `E` is the error of the files.
+/// Why a write to the store failed; `E` is the error type of the files.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotStoreError<E> {
-    /// An operation on the files failed.
+    /// A file operation failed.
     Files {
         /// The operation.
         operation: FileOperation,
-        /// Why it failed.
+        /// The error that it returned.
         source: E,
     },
-    /// The log is full, or may be torn: a snapshot has to be written first.
+    /// There is no log yet, or it is full or may be torn: a snapshot must be written first.
     NeedsSnapshot,
 }
 
 impl<E> SnapshotStoreError<E> {
-    /// The conversion of the error of this operation.
-    fn of(operation: FileOperation) -> impl Fn(E) -> Self {
+    /// Returns a function that wraps an error of this operation.
+    fn in_operation(operation: FileOperation) -> impl Fn(E) -> Self {
         move |source| Self::Files { operation, source }
     }
 }
@@ -266,7 +272,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Files { operation, source } => write!(f, "cannot {operation}: {source}"),
-            Self::NeedsSnapshot => write!(f, "the log is full or torn: a snapshot has to be written first"),
+            Self::NeedsSnapshot => {
+                write!(f, "the log is missing, full or torn: a snapshot must be written first")
+            }
         }
     }
 }
@@ -280,60 +288,65 @@
     }
 }
 
-/// Writes the snapshots and logs of one process.
+/// Writes the snapshots and logs of this process.
 #[derive(Clone, Copy, Debug)]
 pub struct SnapshotStore {
     owner: SnapshotOwner,
-    /// The snapshot that is valid, if this process has written one.
-    current: Option<u64>,
-    next: u64,
-    /// Bytes in the log of the current snapshot.
+    /// Generation of the latest snapshot that this process has written completely, if any.
+    current_generation: Option<u64>,
+    next_generation: u64,
+    /// Size of the current log in bytes.
     logged_bytes: usize,
-    /// The last append failed, so the log may end in a torn entry.
-    is_torn: bool,
+    /// Whether the last append failed, so that the log may end in a torn entry.
+    may_be_torn: bool,
 }
 
 impl SnapshotStore {
-    /// A store that writes generations after all that are there.
+    /// Creates a store whose generations follow all those in the directory.
     pub fn new<F: SnapshotFiles>(files: &F, owner: SnapshotOwner) -> Self {
         let names = files.names().unwrap_or_default();
         let last = [SNAPSHOT_PREFIX, LOG_PREFIX].map(|prefix| generations(&names, prefix).last().copied());
-        let next = last.into_iter().flatten().max().map_or(1, |generation| generation.saturating_add(1));
-        Self { owner, current: None, next, logged_bytes: 0, is_torn: false }
+        let next_generation =
+            last.into_iter().flatten().max().map_or(1, |generation| generation.saturating_add(1));
+        Self { owner, current_generation: None, next_generation, logged_bytes: 0, may_be_torn: false }
     }
 
-    /// Whether a snapshot must be written before the next entry, or soon.
+    /// Whether a snapshot is due: required before the next entry, or because the log is half full.
     pub fn needs_snapshot(&self) -> bool {
-        self.current.is_none() || self.is_torn || self.logged_bytes >= write_ahead_log::FULL_LOG_BYTES
+        self.current_generation.is_none()
+            || self.may_be_torn
+            || self.logged_bytes >= write_ahead_log::SNAPSHOT_DUE_LOG_BYTES
     }
 
-    /// Writes a snapshot, with an empty log.
+    /// Writes a snapshot and starts an empty log.
     ///
     /// # Errors
-    /// Where an operation on the files failed. The snapshot before stays valid, and its log is still written.
+    /// If a file operation failed. Unless that was the removal of old files, the previous snapshot and its log stay in
+    /// use.
     pub fn save<F: SnapshotFiles>(
         &mut self,
         files: &mut F,
         snapshot: &Snapshot,
     ) -> Result<(), SnapshotStoreError<F::Error>> {
-        // A generation is used once, also where its snapshot failed.
-        let generation = self.next;
-        self.next = self.next.saturating_add(1);
-        let failed = SnapshotStoreError::of;
+        // A generation number is never reused, even if writing its snapshot fails.
+        let generation = self.next_generation;
+        self.next_generation = self.next_generation.saturating_add(1);
+        let error_in = SnapshotStoreError::in_operation;
         let bytes = snapshot_codec::encode(self.owner, generation, snapshot);
-        files.write(TEMPORARY_FILE, &bytes).map_err(failed(FileOperation::Write))?;
-        files.sync(TEMPORARY_FILE).map_err(failed(FileOperation::Sync))?;
-        // The empty log needs no sync but that of its name.
-        files.write(&log_name(generation), &[]).map_err(failed(FileOperation::Write))?;
-        files.rename(TEMPORARY_FILE, &snapshot_name(generation)).map_err(failed(FileOperation::Rename))?;
-        files.sync_folder().map_err(failed(FileOperation::SyncDirectory))?;
-        self.current = Some(generation);
+        files.write(TEMPORARY_FILE, &bytes).map_err(error_in(FileOperation::Write))?;
+        files.sync(TEMPORARY_FILE).map_err(error_in(FileOperation::Sync))?;
+        // The log is empty, so only its name must be durable: syncing the directory is enough.
+        files.write(&log_name(generation), &[]).map_err(error_in(FileOperation::Write))?;
+        files.rename(TEMPORARY_FILE, &snapshot_name(generation)).map_err(error_in(FileOperation::Rename))?;
+        files.sync_directory().map_err(error_in(FileOperation::SyncDirectory))?;
+        self.current_generation = Some(generation);
         self.logged_bytes = 0;
-        self.is_torn = false;
-        Self::remove_old(files, generation).map_err(failed(FileOperation::RemoveOld))
+        self.may_be_torn = false;
+        Self::remove_old(files, generation).map_err(error_in(FileOperation::RemoveOld))
     }
 
-    /// Removes all files but those of the current generation and the one before, which is used if this one is damaged.
+    /// Removes all files except those of the current generation and of the one before, the fallback if this one is
+    /// damaged.
     fn remove_old<F: SnapshotFiles>(files: &mut F, current: u64) -> Result<(), F::Error> {
         let names = files.names()?;
         let oldest = generations(&names, SNAPSHOT_PREFIX).into_iter().rev().nth(1).unwrap_or(current);
@@ -345,16 +358,16 @@
         Ok(())
     }
 
-    /// Appends keys to the log; once this returns they survive a loss of power.
+    /// Appends keys to the log and syncs it: on success, they survive a power loss.
     ///
     /// # Errors
-    /// Where an operation on the files failed, or a snapshot has to be written first.
+    /// If a file operation failed, or if a snapshot must be written first.
     pub fn append<F: SnapshotFiles>(
         &mut self,
         files: &mut F,
         keys: &[KeyRecord],
     ) -> Result<(), SnapshotStoreError<F::Error>> {
-        let current = self.current.filter(|_| !self.is_torn);
+        let current = self.current_generation.filter(|_| !self.may_be_torn);
         let generation = current.ok_or(SnapshotStoreError::NeedsSnapshot)?;
         let entries = keys.iter().flat_map(|key| write_ahead_log::encode_entry(self.owner, generation, key));
         let bytes: Vec<_> = entries.collect();
@@ -363,8 +376,8 @@
         }
         let name = log_name(generation);
         let appended = Self::append_synced(files, &name, &bytes);
-        // Nothing behind a torn entry is ever read.
-        self.is_torn = appended.is_err();
+        // Replay stops at a torn entry, so nothing may be appended after one.
+        self.may_be_torn = appended.is_err();
         self.logged_bytes += bytes.len();
         appended
     }
@@ -374,7 +387,7 @@
         name: &str,
         bytes: &[u8],
     ) -> Result<(), SnapshotStoreError<F::Error>> {
-        files.append(name, bytes).map_err(SnapshotStoreError::of(FileOperation::Append))?;
-        files.sync(name).map_err(SnapshotStoreError::of(FileOperation::Sync))
+        files.append(name, bytes).map_err(SnapshotStoreError::in_operation(FileOperation::Append))?;
+        files.sync(name).map_err(SnapshotStoreError::in_operation(FileOperation::Sync))
     }
 }
--- a/recovery/src/write_ahead_log/tests.rs
+++ b/recovery/src/write_ahead_log/tests.rs
@@ -1,4 +1,4 @@
-//! Logs that are complete, truncated or corrupted.
+//! Replay of complete, truncated, corrupted and foreign logs.
 
 use super::*;
 use crate::snapshot::KeyProgress;
@@ -16,43 +16,43 @@
 }
 
 #[test]
-fn torn_tail_loses_no_whole_entry() {
+fn truncated_or_corrupted_log_keeps_the_entries_before() {
     let entries: Vec<_> = keys().iter().map(|key| encode_entry(OWNER, 3, key)).collect();
-    let all = entries.concat();
-    assert_eq!(replay(OWNER, 3, &all), Replay { entries: keys(), whole_bytes: all.len() });
-    for length in 0..all.len() {
+    let log = entries.concat();
+    assert_eq!(replay(OWNER, 3, &log), Replay { entries: keys(), valid_bytes: log.len() });
+    for length in 0..log.len() {
         let mut ends = entries.iter().scan(0, |end, entry| {
             *end += entry.len();
             Some(*end)
         });
-        let whole = ends.by_ref().take_while(|end| *end <= length).count();
-        let Replay { entries: read, whole_bytes } = replay(OWNER, 3, &all[..length]);
+        let complete = ends.by_ref().take_while(|end| *end <= length).count();
+        let Replay { entries: replayed, valid_bytes } = replay(OWNER, 3, &log[..length]);
         assert_eq!(
-            (read.len(), whole_bytes),
-            (whole, entries[..whole].concat().len()),
+            (replayed.len(), valid_bytes),
+            (complete, entries[..complete].concat().len()),
             "truncated at {length}"
         );
     }
-    for bit in 0..all.len() * 8 {
-        let mut bytes = all.clone();
+    for bit in 0..log.len() * 8 {
+        let mut bytes = log.clone();
         bytes[bit / 8] ^= 1 << (bit % 8);
-        let Replay { entries: read, whole_bytes } = replay(OWNER, 3, &bytes);
-        assert!(read.len() < 5 && whole_bytes <= bit / 8, "bit {bit}");
-        assert_eq!(read, keys()[..read.len()]);
+        let Replay { entries: replayed, valid_bytes } = replay(OWNER, 3, &bytes);
+        assert!(replayed.len() < 5 && valid_bytes <= bit / 8, "bit {bit}");
+        assert_eq!(replayed, keys()[..replayed.len()]);
     }
 }
 
 #[test]
-fn entries_of_an_earlier_log_are_ignored() {
-    let all = keys().iter().flat_map(|key| encode_entry(OWNER, 3, key)).collect::<Vec<_>>();
-    assert_eq!(replay(OWNER, 4, &all), Replay { entries: Vec::new(), whole_bytes: 0 });
+fn entries_of_another_generation_or_owner_are_ignored() {
+    let log = keys().iter().flat_map(|key| encode_entry(OWNER, 3, key)).collect::<Vec<_>>();
+    assert_eq!(replay(OWNER, 4, &log), Replay { entries: Vec::new(), valid_bytes: 0 });
     assert_eq!(
-        replay(SnapshotOwner { host: 9, ..OWNER }, 3, &all),
-        Replay { entries: Vec::new(), whole_bytes: 0 }
+        replay(SnapshotOwner { host: 9, ..OWNER }, 3, &log),
+        Replay { entries: Vec::new(), valid_bytes: 0 }
     );
     assert_eq!(
         replay(OWNER, 3, &[0; 100]),
-        Replay { entries: Vec::new(), whole_bytes: 0 },
-        "only zeros, as after a power loss"
+        Replay { entries: Vec::new(), valid_bytes: 0 },
+        "a file of zeros, as a power loss may leave"
     );
 }
--- a/recovery/tests/crash/disk.rs
+++ b/recovery/tests/crash/disk.rs
@@ -1,14 +1,14 @@
-//! A simulated disk that loses power or fails at a chosen operation.
+//! A simulated disk that loses power or returns an I/O error at a chosen operation.
 
 use reedwalk_recovery::snapshot_store::SnapshotFiles;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What the disk holds after a power loss of data that was written and not synced.
+/// What remains after a power loss of data that was written but not synced.
 #[derive(Clone, Copy, Debug)]
 pub enum UnsyncedData {
-    /// Nothing of it.
+    /// None of it.
     Lost,
     /// The first half of it.
     Partial,
@@ -16,25 +16,25 @@
     Written,
 }
 
-/// All that can become of unsynced data.
-pub const ALL_UNSYNCED: [UnsyncedData; 3] =
+/// All outcomes for unsynced data.
+pub const UNSYNCED_OUTCOMES: [UnsyncedData; 3] =
     [UnsyncedData::Lost, UnsyncedData::Partial, UnsyncedData::Written];
 
 /// Why an operation on the simulated disk failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskError {
-    /// The operation was chosen to fail.
+    /// The injected I/O error.
     Io,
-    /// The power is lost.
+    /// The disk has lost power.
     PowerLoss,
-    /// There is no file of this name.
+    /// No file has this name.
     NoSuchFile,
 }
 
 impl fmt::Display for DiskError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Io => "input or output error",
+            Self::Io => "I/O error",
             Self::PowerLoss => "power loss",
             Self::NoSuchFile => "no such file",
         })
@@ -46,56 +46,56 @@
 /// The content of a file.
 #[derive(Clone, Debug, Default)]
 pub struct FileContent {
-    /// What survives a power loss.
+    /// The bytes that survive a power loss.
     pub synced: Vec<u8>,
-    /// What is read while the power is on.
+    /// The bytes that are read while the power is on.
     pub current: Vec<u8>,
 }
 
-/// Whether an operation is carried out in full or, as the last one before the power loss, in part.
+/// How much of an operation is carried out; the last one before a power loss may be partial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Extent {
     Complete,
     Partial,
 }
 
-/// A directory on a simulated disk. Contents and names each survive a power loss only once they were synced.
+/// A directory on a simulated disk. File contents and names survive a power loss only after they were synced.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk {
-    /// The contents, by the number of the file.
+    /// File contents by file number.
     pub files: BTreeMap<u32, FileContent>,
-    /// The names that survive a power loss, and the numbers of their files.
+    /// File numbers by name, as they survive a power loss.
     synced_names: BTreeMap<String, u32>,
-    /// The names that are there while the power is on.
+    /// File numbers by name, as seen while the power is on.
     pub names: BTreeMap<String, u32>,
     last_file_number: u32,
-    /// Operations until the power loss; the last one may be done in part.
+    /// Number of operations until the power loss; the last one may be partial.
     operations_left: Cell<Option<u32>>,
-    /// The number of an operation that fails without a power loss.
+    /// Number of the operation that fails without a power loss.
     failing_operation: Option<u32>,
-    /// Operations so far.
+    /// Number of operations so far.
     pub operations: u32,
 }
 
 impl SimulatedDisk {
-    /// An empty disk that loses power at this operation, counted from 1.
+    /// An empty disk that loses power at the given operation, counted from 1.
     pub fn losing_power_at(operation: u32) -> Self {
         Self { operations_left: Cell::new(Some(operation)), ..Self::default() }
     }
 
-    /// An empty disk whose operation of this number fails.
+    /// An empty disk on which the given operation fails, counted from 1.
     pub fn failing_at(operation: u32) -> Self {
         Self { failing_operation: Some(operation), ..Self::default() }
     }
 
-    /// The same disk, which loses power at this operation from now on, counted from 1.
+    /// A copy of the disk that loses power at the given operation from now on, counted from 1.
     pub fn with_power_loss_at(&self, operation: u32) -> Self {
         let disk = self.clone();
         disk.operations_left.set(Some(operation));
         disk
     }
 
-    /// Counts an operation and says how much of it is carried out: all, or half and then nothing ever again.
+    /// Counts an operation and returns how much of it is carried out. After a partial operation, all others fail.
     fn begin_operation(&mut self) -> Result<Extent, DiskError> {
         self.operations += 1;
         if self.failing_operation == Some(self.operations) {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Counts an operation that is carried out in full or not at all.
+    /// Counts an operation that is carried out completely or not at all.
     fn begin_atomic_operation(&mut self) -> Result<(), DiskError> {
         match self.begin_operation()? {
             Extent::Complete => Ok(()),
@@ -119,11 +119,11 @@
         }
     }
 
-    fn number(&self, name: &str) -> Result<u32, DiskError> {
+    fn file_number(&self, name: &str) -> Result<u32, DiskError> {
         self.names.get(name).copied().ok_or(DiskError::NoSuchFile)
     }
 
-    /// The disk after a power loss, with the power back on.
+    /// The disk after a power loss, with power restored.
     pub fn after_power_loss(&self, unsynced: UnsyncedData) -> Self {
         let surviving = |file: &FileContent| match unsynced {
             UnsyncedData::Lost => file.synced.clone(),
@@ -158,7 +158,7 @@
     }
 
     fn read(&self, name: &str, max_bytes: usize) -> Result<Vec<u8>, DiskError> {
-        let current = &self.files[&self.number(name)?].current;
+        let current = &self.files[&self.file_number(name)?].current;
         Ok(current[..current.len().min(max_bytes + 1)].to_vec())
     }
 
@@ -178,11 +178,11 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
-        let number = self.number(name)?;
+        let number = self.file_number(name)?;
         let is_failing = self.failing_operation == Some(self.operations + 1);
         let extent = self.begin_operation();
         let written = if extent == Ok(Extent::Complete) { bytes.len() } else { bytes.len() / 2 };
-        // A failing append leaves half of its bytes, as a power loss does.
+        // A failing append writes half of its bytes, as in a power loss.
         if extent.is_ok() || is_failing {
             self.files.entry(number).or_default().current.extend_from_slice(&bytes[..written]);
         }
@@ -191,7 +191,7 @@
 
     fn sync(&mut self, name: &str) -> Result<(), DiskError> {
         self.begin_atomic_operation()?;
-        let number = self.number(name)?;
+        let number = self.file_number(name)?;
         let file = self.files.entry(number).or_default();
         file.synced = file.current.clone();
         Ok(())
@@ -204,7 +204,7 @@
         Ok(())
     }
 
-    fn sync_folder(&mut self) -> Result<(), DiskError> {
+    fn sync_directory(&mut self) -> Result<(), DiskError> {
         self.begin_atomic_operation()?;
         self.synced_names = self.names.clone();
         Ok(())
--- a/recovery/tests/golden.rs
+++ b/recovery/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The snapshot folder as the program wrote it before the names of its types changed: bytes and file names stay.
+//! Guards the on-disk format: a change to the Rust types must not alter the bytes or names of the stored files. The
+//! golden files were written before the types were renamed.
 
 use reedwalk_recovery::snapshot::{ClassRecord, EngineRecord, KeyProgress, KeyRecord, Snapshot};
 use reedwalk_recovery::snapshot_codec::SnapshotOwner;
@@ -10,18 +11,18 @@
     SnapshotOwner { host: 0x1122_3344_5566_7788, gateway: 0x99aa, settings: u64::MAX };
 const WRITTEN_MS: u64 = 1_764_612_345_678;
 
-/// A folder in memory.
+/// A directory in memory.
 #[derive(Default)]
-struct Folder(BTreeMap<String, Vec<u8>>);
+struct MemoryDirectory(BTreeMap<String, Vec<u8>>);
 
-impl SnapshotFiles for Folder {
+impl SnapshotFiles for MemoryDirectory {
     type Error = Infallible;
 
     fn names(&self) -> Result<Vec<String>, Infallible> {
         Ok(self.0.keys().cloned().collect())
     }
 
-    fn read(&self, name: &str, _limit: usize) -> Result<Vec<u8>, Infallible> {
+    fn read(&self, name: &str, _max_bytes: usize) -> Result<Vec<u8>, Infallible> {
         Ok(self.0[name].clone())
     }
 
@@ -45,7 +46,7 @@
         Ok(())
     }
 
-    fn sync_folder(&mut self) -> Result<(), Infallible> {
+    fn sync_directory(&mut self) -> Result<(), Infallible> {
         Ok(())
     }
 
@@ -55,18 +56,18 @@
     }
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn decode_hex(text: &str) -> Vec<u8> {
     let digits = text.trim();
     let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).expect("two hexadecimal digits");
     (0..digits.len()).step_by(2).map(byte).collect()
 }
 
-fn key(key: u64, reached: KeyProgress, group: Option<u64>) -> KeyRecord {
-    KeyRecord { key, progress: reached, group, sent: WRITTEN_MS - key }
+fn key(key: u64, progress: KeyProgress, group: Option<u64>) -> KeyRecord {
+    KeyRecord { key, progress, group, sent: WRITTEN_MS - key }
 }
 
 fn snapshot() -> Snapshot {
@@ -100,7 +101,7 @@
     }
 }
 
-fn logged() -> Vec<KeyRecord> {
+fn log_entries() -> Vec<KeyRecord> {
     vec![
         key(4, KeyProgress::Sent, Some(7)),
         key(5, KeyProgress::Served, None),
@@ -108,30 +109,30 @@
     ]
 }
 
-fn golden() -> Folder {
+fn golden_directory() -> MemoryDirectory {
     let files =
         [("record-1", include_str!("golden/record-1.hex")), ("log-1", include_str!("golden/log-1.hex"))];
-    Folder(files.into_iter().map(|(name, bytes)| (name.to_owned(), unhex(bytes))).collect())
+    MemoryDirectory(files.into_iter().map(|(name, bytes)| (name.to_owned(), decode_hex(bytes))).collect())
 }
 
 #[test]
-fn snapshot_folder_is_written_as_before() {
-    let mut folder = Folder::default();
-    let mut keeper = SnapshotStore::new(&folder, OWNER);
-    keeper.save(&mut folder, &snapshot()).unwrap();
-    keeper.append(&mut folder, &logged()).unwrap();
-    let written: Vec<_> = folder.0.iter().map(|(name, bytes)| (name, hex(bytes))).collect();
-    let golden = golden();
-    let expected: Vec<_> = golden.0.iter().map(|(name, bytes)| (name, hex(bytes))).collect();
+fn stored_files_match_the_golden_files() {
+    let mut directory = MemoryDirectory::default();
+    let mut store = SnapshotStore::new(&directory, OWNER);
+    store.save(&mut directory, &snapshot()).unwrap();
+    store.append(&mut directory, &log_entries()).unwrap();
+    let written: Vec<_> = directory.0.iter().map(|(name, bytes)| (name, encode_hex(bytes))).collect();
+    let golden = golden_directory();
+    let expected: Vec<_> = golden.0.iter().map(|(name, bytes)| (name, encode_hex(bytes))).collect();
     assert_eq!(written, expected);
 }
 
 #[test]
-fn snapshot_folder_of_the_version_before_is_read() {
-    let found = recover(&golden(), OWNER, WRITTEN_MS + 1_000);
-    assert_eq!((found.generation, found.entries, found.torn), (Some(1), 3, 0));
-    assert_eq!(found.unused, []);
+fn golden_files_are_recovered() {
+    let recovered = recover(&golden_directory(), OWNER, WRITTEN_MS + 1_000);
+    assert_eq!((recovered.generation, recovered.replayed_entries, recovered.torn_bytes), (Some(1), 3, 0));
+    assert_eq!(recovered.unused, []);
     let mut expected = snapshot();
-    expected.keys.extend(logged());
-    assert_eq!(found.snapshot, expected);
+    expected.keys.extend(log_entries());
+    assert_eq!(recovered.snapshot, expected);
 }
