--- a/recovery/src/startup_phases/tests.rs
+++ b/recovery/src/startup_phases/tests.rs
@@ -65,7 +65,7 @@
 fn retries_of_rejected_clients_are_spread() {
     let phases = StartupPhases::new(setup(true, true));
     let retry_at = |jitter| match phases.admits(jitter) {
-        AdmissionDecision::NotBefore(retry_at) => retry_at,
+        AdmissionDecision::NotBefore(time) => time,
         AdmissionDecision::Admit => panic!("admitted"),
     };
     assert!(retry_at(0.0) >= START + SETTLE_TIMEOUT && retry_at(1.0) >= retry_at(0.0) + SETTLE_TIMEOUT);
