--- a/gateway/src/broker/recovery_guard.rs
+++ b/gateway/src/broker/recovery_guard.rs
@@ -230,7 +230,7 @@
 
 fn key_rules(deduplication: Deduplication) -> KeyRules {
     KeyRules {
-        one_group: deduplication.scope == DeduplicationScope::All,
+        single_group: deduplication.scope == DeduplicationScope::All,
         window: deduplication.window.as_millis() as Millis,
     }
 }
--- a/gateway/src/persistence/restore.rs
+++ b/gateway/src/persistence/restore.rs
@@ -50,7 +50,7 @@
     let snapshot = &recovered.snapshot;
     let age_ms = unix_ms().saturating_sub(snapshot.written);
     info!(log, "persisted state read"; "generation" => ?recovered.generation, "engines" => snapshot.engines.len(),
-        "classes" => snapshot.classes.len(), "keys" => snapshot.keys.len(), "torn_bytes" => recovered.torn,
+        "classes" => snapshot.classes.len(), "keys" => snapshot.keys.len(), "torn_bytes" => recovered.torn_bytes,
         "age_ms" => age_ms);
     recovered
 }
@@ -114,7 +114,7 @@
     }
     let ejected_for = Duration::from_millis(record.ejected_until.saturating_sub(now));
     let ejection = confidence(Fact::Failing, Source::Disk, age, 0, contradictions);
-    if ejection == Confidence::Protects && !ejected_for.is_zero() {
+    if ejection == Confidence::RestrictOnly && !ejected_for.is_zero() {
         events.push(BrokerEvent::EjectedByGossip { engine, until: Instant::now() + ejected_for });
     }
     events
