--- a/gateway/src/drain_guard.rs
+++ b/gateway/src/drain_guard.rs
@@ -2,7 +2,7 @@
 //! engine starts to drain; connections check it at the moment they write, so that an attempt which waited in a queue
 //! meanwhile is not sent.
 
-use reedwalk_multicore::{DrainFence, DrainFences, EngineStanding};
+use reedwalk_multicore::{DrainFence, DrainFences, DrainState};
 use reedwalk_scheduler::{EngineEntry, EngineId, EngineState};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -50,13 +50,13 @@
     /// Takes in an engine's entry and returns the guard for whatever is sent to it from now on. An engine that
     /// operators have taken out (`taken_out`) gets no grace period.
     pub fn update(&mut self, entry: &EngineEntry, taken_out: bool, now: Instant) -> DrainGuard {
-        let standing = match entry.state {
-            EngineState::InService => EngineStanding::InService,
-            EngineState::Draining if taken_out => EngineStanding::Out,
-            EngineState::Draining => EngineStanding::Draining,
-            EngineState::Removed => EngineStanding::Removed,
+        let state = match entry.state {
+            EngineState::InService => DrainState::InService,
+            EngineState::Draining if taken_out => DrainState::Out,
+            EngineState::Draining => DrainState::Draining,
+            EngineState::Removed => DrainState::Removed,
         };
-        let fence = self.fences.update(&entry.engine, standing, micros_since(self.epoch, now));
+        let fence = self.fences.update(&entry.engine, state, micros_since(self.epoch, now));
         DrainGuard { fence, epoch: self.epoch }
     }
 }
--- a/gateway/src/multicore.rs
+++ b/gateway/src/multicore.rs
@@ -1,7 +1,7 @@
 //! The runtimes that a gateway runs on. Each core is a thread with a runtime of its own; core 0 runs the broker, and
 //! connections live on whichever core `reedwalk-multicore` places them. With one core all of it is the caller's runtime.
 
-use reedwalk_multicore::{Change, ConnectionLoad, LoadTable, StallDetector, shares};
+use reedwalk_multicore::{ConnectionGuard, CoreEvent, LoadTable, StallDetector, connection_shares};
 use slog::{Logger, error, info, warn};
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -59,7 +59,7 @@
 /// The core that a connection was placed on, until the last copy of this is dropped.
 #[derive(Clone, Debug)]
 pub struct ConnectionSlot {
-    load: Option<Arc<ConnectionLoad>>,
+    load: Option<Arc<ConnectionGuard>>,
     handle: Option<Handle>,
 }
 
@@ -73,7 +73,7 @@
     pub fn single() -> Self {
         Self(Arc::new(Inner {
             cores: Vec::new(),
-            load_table: LoadTable::new(shares(1)),
+            load_table: LoadTable::new(connection_shares(1)),
             epoch: Instant::now(),
         }))
     }
@@ -88,7 +88,7 @@
         }
         let epoch = Instant::now();
         let cores = (0..count).map(|number| start_core(number, epoch)).collect::<Result<_, _>>()?;
-        Ok(Self(Arc::new(Inner { cores, load_table: LoadTable::new(shares(count)), epoch })))
+        Ok(Self(Arc::new(Inner { cores, load_table: LoadTable::new(connection_shares(count)), epoch })))
     }
 
     /// Whether there are several cores.
@@ -174,8 +174,8 @@
                 let Heartbeat { at, ended } = &*core.heartbeat;
                 (at.load(Ordering::Relaxed), ended.load(Ordering::Acquire))
             };
-            for change in watch.check(now, inner.cores.iter().map(heartbeat)) {
-                if let Some(ended) = self.on_change(change, &log)
+            for event in watch.check(now, inner.cores.iter().map(heartbeat)) {
+                if let Some(ended) = self.on_core_event(event, &log)
                     && lost.send(ended).await.is_err()
                 {
                     return;
@@ -185,19 +185,19 @@
     }
 
     /// Applies a change of a core's state. Returns the number of a core that has ended.
-    fn on_change(&self, change: Change, log: &Logger) -> Option<usize> {
-        match change {
-            Change::Stalled(core, since) => {
+    fn on_core_event(&self, event: CoreEvent, log: &Logger) -> Option<usize> {
+        match event {
+            CoreEvent::Stalled(core, since) => {
                 warn!(log, "worker thread stalled"; "core" => core, "stalled_ms" => since / 1000);
                 self.0.load_table.set_accepting(core, false);
                 None
             }
-            Change::Recovered(core, after) => {
+            CoreEvent::Recovered(core, after) => {
                 info!(log, "worker thread resumed"; "core" => core, "stalled_ms" => after / 1000);
                 self.0.load_table.set_accepting(core, true);
                 None
             }
-            Change::Ended(core) => {
+            CoreEvent::Ended(core) => {
                 error!(log, "worker thread ended"; "core" => core);
                 self.0.load_table.set_accepting(core, false);
                 Some(core)
--- a/multicore/src/load_table.rs
+++ b/multicore/src/load_table.rs
@@ -1,17 +1,17 @@
-//! The connections that each core holds, and whether it accepts more: written by all cores, and read where a connection
-//! is placed.
+//! The number of connections on each core and whether it accepts more. All cores update the table; it is read to place new
+//! connections.
 
 use crate::placement::{self, CoreLoad};
 use crate::sync::{Arc, AtomicBool, AtomicUsize, Ordering};
 
-/// One core. The two values are independent, so relaxed accesses are enough.
+/// The entry of one core. No other memory is published through these values, so relaxed accesses are enough.
 #[derive(Debug)]
-struct Entry {
+struct CoreEntry {
     connections: AtomicUsize,
     accepts: AtomicBool,
 }
 
-impl Entry {
+impl CoreEntry {
     fn load(&self) -> CoreLoad {
         CoreLoad {
             connections: self.connections.load(Ordering::Relaxed),
@@ -20,34 +20,35 @@
     }
 }
 
-/// The entries of all cores; cheap to clone.
+/// The entries of all cores. Clones share the same table.
 #[derive(Clone, Debug)]
 pub struct LoadTable {
-    entries: Arc<Vec<Entry>>,
+    entries: Arc<Vec<CoreEntry>>,
     shares: Arc<Vec<f64>>,
 }
 
-/// One connection of a core, counted until this is dropped.
+/// Counts one connection on a core until it is dropped.
 #[derive(Debug)]
-pub struct ConnectionLoad {
+pub struct ConnectionGuard {
     load_table: LoadTable,
     core: usize,
 }
 
 impl LoadTable {
-    /// Cores without connections, each with its share of all connections ([`shares`](crate::shares)).
+    /// Creates a table without connections. `shares` holds each core's target share of all connections
+    /// ([`connection_shares`](crate::connection_shares)).
     pub fn new(shares: Vec<f64>) -> Self {
-        let entry = |_| Entry { connections: AtomicUsize::new(0), accepts: AtomicBool::new(true) };
+        let entry = |_| CoreEntry { connections: AtomicUsize::new(0), accepts: AtomicBool::new(true) };
         Self { entries: Arc::new((0..shares.len()).map(entry).collect()), shares: Arc::new(shares) }
     }
 
-    /// Places a connection on the core that is furthest below its share. Two calls at once may pick the same core; both are
-    /// counted from then on.
-    pub fn place(&self) -> ConnectionLoad {
-        let loads: Vec<_> = self.entries.iter().map(Entry::load).collect();
-        let core = placement::pick(&self.shares, &loads);
+    /// Places a connection on the core that is furthest below its share. Concurrent calls may select the same core, since each
+    /// counts its connection only after the selection.
+    pub fn place(&self) -> ConnectionGuard {
+        let loads: Vec<_> = self.entries.iter().map(CoreEntry::load).collect();
+        let core = placement::select_core(&self.shares, &loads);
         self.entries[core].connections.fetch_add(1, Ordering::Relaxed);
-        ConnectionLoad { load_table: self.clone(), core }
+        ConnectionGuard { load_table: self.clone(), core }
     }
 
     /// Sets whether a core accepts connections.
@@ -68,14 +69,14 @@
     }
 }
 
-impl ConnectionLoad {
-    /// The core.
+impl ConnectionGuard {
+    /// The core that the connection was placed on.
     pub fn core(&self) -> usize {
         self.core
     }
 }
 
-impl Drop for ConnectionLoad {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.load_table.entries[self.core].connections.fetch_sub(1, Ordering::Relaxed);
     }
--- a/multicore/src/load_table/tests.rs
+++ b/multicore/src/load_table/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn released_connections_are_placed_again_by_share() {
+fn dropped_connections_free_capacity_on_their_core() {
     let load_table = LoadTable::new(vec![0.0, 1.0, 1.0]);
     let mut connections: Vec<_> = (0..6).map(|_| load_table.place()).collect();
     assert_eq!([0, 1, 2].map(|core| load_table.connections(core)), [0, 3, 3]);
--- a/multicore/src/placement.rs
+++ b/multicore/src/placement.rs
@@ -1,19 +1,19 @@
-//! Which core takes a connection. Core 0 runs the broker: it takes only as many connections as leave it no busier than the
-//! others.
+//! Selects the core for a new connection. Core 0 also runs the broker, so it gets only as many connections as keep it no
+//! busier than the other cores.
 
-/// Cores at most; more are not used.
+/// Maximum number of cores that a gateway uses.
 pub const MAX_CORES: usize = 64;
-/// Share of a request's CPU time that the broker takes, on core 0; measured by `make measure-cores`.
+/// Fraction of the CPU time of a request that the broker uses on core 0.
 const BROKER_CPU_SHARE: f64 = 0.25;
 
-/// The share of all connections that each core should have; they sum to 1. With `N` cores and a broker that takes the share
-/// `j` of all CPU time, that of core 0 is `max(0, 1/N - j) / (1 - j)`, and the others share the rest evenly.
-pub fn shares(cores: usize) -> Vec<f64> {
+/// The target share of all connections for each core; the shares sum to 1. With `N` cores and a broker that uses the
+/// fraction `j` of all CPU time, core 0 gets `max(0, 1/N - j) / (1 - j)`, and the other cores split the rest evenly.
+pub fn connection_shares(cores: usize) -> Vec<f64> {
     let cores = cores.clamp(1, MAX_CORES);
     if cores == 1 {
         return vec![1.0];
     }
-    // All work is split evenly; core 0 takes the share of the connections that the broker's work leaves.
+    // CPU time is split evenly: core 0 serves connections only with what the broker leaves of its part.
     let even_share = 1.0 / cores as f64;
     let broker_core_share = ((even_share - BROKER_CPU_SHARE) / (1.0 - BROKER_CPU_SHARE)).max(0.0);
     let other_core_share = (1.0 - broker_core_share) / (cores - 1) as f64;
@@ -25,20 +25,20 @@
 /// The load of a core.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CoreLoad {
-    /// Its connections.
+    /// The number of its connections.
     pub(crate) connections: usize,
     /// Whether it accepts more.
     pub(crate) accepts: bool,
 }
 
-/// The core that is furthest below its share, of those that accept connections. Where none does, all with a share count:
-/// a connection that waits may still be served, one that is refused is not.
-pub(crate) fn pick(shares: &[f64], loads: &[CoreLoad]) -> usize {
+/// The core furthest below its share, among those that accept connections. If none accepts, all cores with a share are
+/// eligible: a connection on a stalled core may still be served once the core recovers, a refused one is lost.
+pub(crate) fn select_core(shares: &[f64], loads: &[CoreLoad]) -> usize {
     let accepting = least_loaded(shares, loads, |load| load.accepts);
     accepting.or_else(|| least_loaded(shares, loads, |_| true)).unwrap_or(0)
 }
 
-/// The core with the fewest connections for its share, with one more, of those that are eligible.
+/// The eligible core with the lowest number of connections relative to its share, counting the new connection.
 fn least_loaded(
     shares: &[f64],
     loads: &[CoreLoad],
@@ -48,7 +48,7 @@
     let eligible = cores.filter(|(_, (share, load))| **share > 0.0 && is_eligible(load));
     let relative_loads =
         eligible.map(|(core, (share, load))| ((load.connections as f64 + 1.0) / share, core));
-    // Of equal ones the first.
+    // Ties go to the lowest core number.
     let least = relative_loads.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     least.map(|(_, core)| core)
 }
--- a/multicore/src/sync.rs
+++ b/multicore/src/sync.rs
@@ -1,4 +1,4 @@
-//! The atomics of this package: those of the standard library, or loom's in the model check.
+//! The atomic types of this package: those of the standard library, or loom's in model checks.
 
 #[cfg(feature = "loom")]
 pub use loom::sync::{
--- a/multicore/tests/model.rs
+++ b/multicore/tests/model.rs
@@ -1,13 +1,14 @@
-//! Model checks of what several cores share, over all interleavings: `cargo test -p reedwalk-multicore --features loom`.
+//! Model checks of the state shared between cores, over all thread interleavings:
+//! `cargo test -p reedwalk-multicore --features loom`.
 #![cfg(feature = "loom")]
 
 use loom::sync::Arc;
 use loom::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use loom::thread;
-use reedwalk_multicore::{DrainFence, DrainFences, EngineStanding, LoadTable};
+use reedwalk_multicore::{DrainFence, DrainFences, DrainState, LoadTable};
 
 #[test]
-fn earlier_of_two_concurrent_closes_holds() {
+fn earlier_of_two_concurrent_closes_takes_effect() {
     loom::model(|| {
         let fence = DrainFence::default();
         let closers: Vec<_> = [30, 10]
@@ -21,9 +22,9 @@
     });
 }
 
-/// A thread that has been notified of the drain finds the fence closed: the flag stands for a message.
+/// A thread that was notified of the drain must see the fence closed. The flag models the notification.
 #[test]
-fn no_write_follows_a_published_drain() {
+fn no_attempt_is_written_after_the_drain_notification() {
     loom::model(|| {
         let (fence, notified) = (DrainFence::default(), Arc::new(AtomicBool::new(false)));
         let writer = {
@@ -40,13 +41,13 @@
     });
 }
 
-/// Time passes on one core while another drains an engine and returns it: an attempt with the old fence is never written
-/// at or past its instant, whatever the engine's new fence allows.
+/// An engine is drained and returned by one core while the clock advances on another: an attempt that holds the old fence
+/// must not be written at or after its closing time, although the engine's new fence is open.
 #[test]
 fn old_attempt_is_not_written_after_its_engine_returns() {
     loom::model(|| {
         let mut fences = DrainFences::new(5);
-        let old = fences.update(&1, EngineStanding::InService, 0);
+        let old = fences.update(&1, DrainState::InService, 0);
         let clock = Arc::new(AtomicU64::new(0));
         let writer = {
             let (old, clock) = (old.clone(), clock.clone());
@@ -55,8 +56,8 @@
                 (now, old.is_open(now))
             })
         };
-        fences.update(&1, EngineStanding::Draining, 10);
-        let new = fences.update(&1, EngineStanding::InService, 12);
+        fences.update(&1, DrainState::Draining, 10);
+        let new = fences.update(&1, DrainState::InService, 12);
         clock.store(20, Ordering::Release);
         assert!(new.is_open(20));
         let (now, wrote) = writer.join().unwrap();
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn load_table_counts_held_connections_and_ends_at_zero() {
+fn load_table_counts_open_connections_and_returns_to_zero() {
     loom::model(|| {
         let load_table = LoadTable::new(vec![0.5, 0.5]);
         let threads: Vec<_> = (0..2)
