--- a/gateway/src/registry/override_file.rs
+++ b/gateway/src/registry/override_file.rs
@@ -2,7 +2,7 @@
 //! lock that the kernel releases with its process excludes a second writer.
 
 use crate::lock::Locked;
-use reedwalk_operations::{MAX_RECORD_BYTES, OverrideRecordError, Overrides, read, write};
+use reedwalk_operations::{MAX_RECORD_BYTES, OverrideRecordError, Overrides, decode_record, encode_record};
 use slog::{Logger, error};
 use std::fmt;
 use std::fs::File;
@@ -104,7 +104,7 @@
     /// Where an operation on the files fails; the old file stays.
     pub fn write(&self, overrides: &Overrides) -> Result<(), OverrideFileError> {
         let mut file = File::create(&self.temporary_path)?;
-        file.write_all(&write(overrides))?;
+        file.write_all(&encode_record(overrides))?;
         file.sync_data()?;
         drop(file);
         std::fs::rename(&self.temporary_path, &self.path)?;
@@ -144,7 +144,7 @@
         };
         let mut bytes = Vec::new();
         file.take(MAX_RECORD_BYTES as u64 + 1).read_to_end(&mut bytes).map_err(LoadError::Io)?;
-        read(&bytes).map_err(LoadError::Record)
+        decode_record(&bytes).map_err(LoadError::Record)
     }
 
     fn stamp(&self) -> Option<Stamp> {
--- a/gateway/src/serve/running.rs
+++ b/gateway/src/serve/running.rs
@@ -76,13 +76,13 @@
         self.stage.send_replace(ProcessStage::Closing);
         self.gossip_closing.send_replace(true);
         let mut share = self.share.clone();
-        let relieved = async {
-            if share.wait_for(|share| share.relieved).await.is_err() {
+        let other_process_serves = async {
+            if share.wait_for(|share| share.other_process_serves).await.is_err() {
                 // Without a console there is no hot restart, and no other process to wait for.
                 std::future::pending::<()>().await;
             }
         };
-        let _ = timeout_at(terminated_at + OVERLAP, relieved).await;
+        let _ = timeout_at(terminated_at + OVERLAP, other_process_serves).await;
     }
 
     /// Closes the fronts to new clients and waits until every accepted request is answered. SIGTERM came at `terminated_at`.
--- a/gateway/tests/golden.rs
+++ b/gateway/tests/golden.rs
@@ -97,7 +97,7 @@
 
 #[test]
 fn process_file_of_the_previous_version_is_read() {
-    for (word, share, relieved) in
+    for (word, share, other_process_serves) in
         [("starting", 0.5, false), ("serving ", 0.5, true), ("closing ", 0.75, false)]
     {
         let folder = folder();
@@ -107,7 +107,7 @@
         other.lock().unwrap();
         let own = HotRestart::enter(&folder, "n0-3306", discard_log());
         let own = *own.share().borrow();
-        assert_eq!((own.share, own.relieved), (share, relieved), "{word}");
+        assert_eq!((own.share, own.other_process_serves), (share, other_process_serves), "{word}");
     }
 }
 
--- a/operations/src/capacity/tests.rs
+++ b/operations/src/capacity/tests.rs
@@ -14,10 +14,19 @@
 }
 
 #[test]
-fn lone_process_has_everything_and_two_have_half_each() {
+fn single_process_has_full_capacity_and_two_serving_processes_half_each() {
     assert_eq!(capacity_share(Serving, &[]), CapacityShare::default());
-    assert_eq!(capacity_share(Starting, &[Serving]), CapacityShare { share: 0.5, relieved: true });
-    assert_eq!(capacity_share(Serving, &[Starting]), CapacityShare { share: 0.5, relieved: false });
+    assert_eq!(
+        capacity_share(Starting, &[Serving]),
+        CapacityShare { share: 0.5, other_process_serves: true }
+    );
+    assert_eq!(
+        capacity_share(Serving, &[Starting]),
+        CapacityShare { share: 0.5, other_process_serves: false }
+    );
     assert_eq!(capacity_share(Serving, &[Closing]).share, 0.75);
-    assert_eq!(capacity_share(Closing, &[Serving]), CapacityShare { share: 0.25, relieved: true });
+    assert_eq!(
+        capacity_share(Closing, &[Serving]),
+        CapacityShare { share: 0.25, other_process_serves: true }
+    );
 }
--- a/operations/src/lib.rs
+++ b/operations/src/lib.rs
@@ -1,17 +1,17 @@
-//! Decisions of day-to-day operation, without I/O or clocks: the operators' overrides of the endpoint list and their
-//! record on disk, and the capacity share of each process in a hot restart.
+//! Logic for operating a gateway, without I/O or clocks: the operators' overrides of the endpoint list, the format in which
+//! they are stored, and the capacity share of each process during a hot restart.
 //!
 //! # Example
 //!
-//! An operator takes an engine out; the override is stored and read by the next process.
+//! An operator takes an engine out of service; the override is stored, and the next process reads it.
 //!
 //! ```
-//! use reedwalk_operations::{Override, Overrides, ProcessStage, capacity_share, read, write};
+//! use reedwalk_operations::{Override, Overrides, ProcessStage, capacity_share, decode_record, encode_record};
 //!
 //! let mut overrides = Overrides::default();
 //! assert_eq!(overrides.set("s-1", Override::Out, 1_700_000_000_000_000), Ok(true));
-//! let record = write(&overrides);
-//! assert!(read(&record)?.is_out("s-1"));
+//! let record = encode_record(&overrides);
+//! assert!(decode_record(&record)?.is_out("s-1"));
 //!
 //! // While both processes accept clients, each has half of the capacity.
 //! assert_eq!(capacity_share(ProcessStage::Serving, &[ProcessStage::Serving]).share, 0.5);
@@ -23,8 +23,8 @@
 mod overrides;
 
 pub use capacity::{CapacityShare, ProcessStage, capacity_share};
-pub use override_codec::{MAX_RECORD_BYTES, OverrideRecordError, read, write};
+pub use override_codec::{MAX_RECORD_BYTES, OverrideRecordError, decode_record, encode_record};
 pub use overrides::{MAX_OVERRIDES, Override, Overrides, TimedOverride, TooManyOverrides};
 
-/// Microseconds of the Unix clock.
+/// Microseconds since the Unix epoch.
 pub type Micros = u64;
--- a/operations/src/override_codec.rs
+++ b/operations/src/override_codec.rs
@@ -1,50 +1,52 @@
-//! The record of the operators' overrides on disk: lines of text, the first with the version, the last with a count and a
-//! checksum. A record that is truncated, corrupted or of another version is rejected as a whole.
+//! Text format of the stored record of operators' overrides. The first line holds the version, the last a line count and a
+//! CRC-32 checksum. A record that is truncated, corrupted or of another version is rejected as a whole.
 
 use crate::overrides::{Override, Overrides, TimedOverride};
 use std::fmt::{self, Write};
 
-/// The first words of a record, before its version.
+/// Start of the first line, before the version.
 const HEADER: &str = "reedwalk words";
-/// Version of the format; another one is rejected.
+/// Format version; records of other versions are rejected.
 const VERSION: u32 = 1;
-/// How a line begins with an engine that is taken out.
+/// First word of a line for an engine that is taken out.
 const OUT: &str = "out";
-/// How a line begins with an engine that was returned.
+/// First word of a line for an engine that was returned.
 const RETURNED: &str = "back";
-/// How the last line begins, before the count and the checksum.
-const END: &str = "end ";
-/// Size of a record at most, in bytes: all overrides that may be stored, with ids as long as a console call can carry.
+/// Start of the last line, before the count and the checksum.
+const TRAILER: &str = "end ";
+/// Maximum size of a record, which fits all overrides that may be stored, with ids as long as a console call can carry.
 pub const MAX_RECORD_BYTES: usize = 256 * 1024;
 
-/// Why bytes are not a record.
+/// Why bytes were rejected as a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverrideRecordError {
-    /// Larger than any record.
+    /// Larger than [`MAX_RECORD_BYTES`].
     TooLarge,
-    /// It does not begin or end as a record does: it was cut off, or is something else.
+    /// The header or the trailer is missing: the record was truncated, or the bytes are of another format.
     Incomplete,
-    /// Of a version that this program does not know.
+    /// The format version is not supported.
     UnknownVersion,
-    /// Its checksum or its count does not match, or a line cannot be read.
+    /// The checksum or the line count does not match, or a line cannot be parsed.
     Corrupted,
 }
 
 impl fmt::Display for OverrideRecordError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::TooLarge => "larger than any record",
-            Self::Incomplete => "not a complete record",
-            Self::UnknownVersion => "of an unknown version",
-            Self::Corrupted => "corrupted: its checksum or a line does not match",
+            Self::TooLarge => "larger than the maximum size of a record",
+            Self::Incomplete => "incomplete: the header or the last line is missing",
+            Self::UnknownVersion => "unsupported format version",
+            Self::Corrupted => {
+                "corrupted: the checksum or the line count does not match, or a line is malformed"
+            }
         })
     }
 }
 
 impl std::error::Error for OverrideRecordError {}
 
-/// The record of these overrides.
-pub fn write(overrides: &Overrides) -> Vec<u8> {
+/// Encodes overrides as a record.
+pub fn encode_record(overrides: &Overrides) -> Vec<u8> {
     let mut text = format!("{HEADER} {VERSION}\n");
     let mut count = 0;
     for (engine, timed) in overrides.iter() {
@@ -56,48 +58,48 @@
         count += 1;
     }
     let checksum = crc32fast::hash(text.as_bytes());
-    let _ = writeln!(text, "{END}{count} {checksum:08x}");
+    let _ = writeln!(text, "{TRAILER}{count} {checksum:08x}");
     text.into_bytes()
 }
 
-/// The overrides of a record.
+/// Decodes the overrides of a record.
 ///
 /// # Errors
-/// Says why the bytes are not a record; nothing of them is used then.
-pub fn read(bytes: &[u8]) -> Result<Overrides, OverrideRecordError> {
+/// Returns the reason if the bytes are not a valid record; no part of them is used then.
+pub fn decode_record(bytes: &[u8]) -> Result<Overrides, OverrideRecordError> {
     if bytes.len() > MAX_RECORD_BYTES {
         return Err(OverrideRecordError::TooLarge);
     }
     let text = std::str::from_utf8(bytes).map_err(|_| OverrideRecordError::Corrupted)?;
     check_version(text)?;
     let body = text.strip_suffix('\n').ok_or(OverrideRecordError::Incomplete)?;
-    let (lines, last) = body.rsplit_once('\n').ok_or(OverrideRecordError::Incomplete)?;
-    let end = last.strip_prefix(END).and_then(|end| end.split_once(' '));
-    let (count, checksum) = end.ok_or(OverrideRecordError::Incomplete)?;
+    let (lines, last_line) = body.rsplit_once('\n').ok_or(OverrideRecordError::Incomplete)?;
+    let trailer = last_line.strip_prefix(TRAILER).and_then(|trailer| trailer.split_once(' '));
+    let (count, checksum) = trailer.ok_or(OverrideRecordError::Incomplete)?;
     let checksum = u32::from_str_radix(checksum, 16).map_err(|_| OverrideRecordError::Corrupted)?;
-    // The checksum covers all lines before the last, with the line feed of each.
-    let checked = &text.as_bytes()[..=lines.len()];
-    if crc32fast::hash(checked) != checksum {
+    // The checksum covers all lines before the last, including their line feeds.
+    let checked_bytes = &text.as_bytes()[..=lines.len()];
+    if crc32fast::hash(checked_bytes) != checksum {
         return Err(OverrideRecordError::Corrupted);
     }
     let mut overrides = Overrides::default();
-    let mut read = 0;
+    let mut line_count = 0;
     for line in lines.lines().skip(1) {
         let (engine, timed) = parse_line(line).ok_or(OverrideRecordError::Corrupted)?;
         overrides.insert(engine, timed);
-        read += 1;
+        line_count += 1;
     }
-    if count.parse() == Ok(read) { Ok(overrides) } else { Err(OverrideRecordError::Corrupted) }
+    if count.parse() == Ok(line_count) { Ok(overrides) } else { Err(OverrideRecordError::Corrupted) }
 }
 
-/// Checks the first line.
+/// Checks the header and the version in the first line.
 fn check_version(text: &str) -> Result<(), OverrideRecordError> {
     let rest = text.strip_prefix(HEADER).ok_or(OverrideRecordError::Incomplete)?;
     let version = rest.split('\n').next().unwrap_or_default();
     if version.trim() == VERSION.to_string() { Ok(()) } else { Err(OverrideRecordError::UnknownVersion) }
 }
 
-/// The engine and the override of a line.
+/// Parses a line into the engine's id and its override.
 fn parse_line(line: &str) -> Option<(String, TimedOverride)> {
     let mut fields = line.splitn(3, ' ');
     let (value, at, engine) = (fields.next()?, fields.next()?, fields.next()?);
--- a/operations/src/override_codec/tests.rs
+++ b/operations/src/override_codec/tests.rs
@@ -10,34 +10,37 @@
 
 #[test]
 fn record_round_trips() {
-    assert_eq!(read(&write(&two_overrides())), Ok(two_overrides()));
-    assert_eq!(read(&write(&Overrides::default())), Ok(Overrides::default()));
+    assert_eq!(decode_record(&encode_record(&two_overrides())), Ok(two_overrides()));
+    assert_eq!(decode_record(&encode_record(&Overrides::default())), Ok(Overrides::default()));
 }
 
 #[test]
-fn truncated_record_is_refused() {
-    let record = write(&two_overrides());
+fn truncated_record_is_rejected() {
+    let record = encode_record(&two_overrides());
     for size in 0..record.len() {
-        assert!(read(&record[..size]).is_err(), "{size} of {} bytes", record.len());
+        assert!(decode_record(&record[..size]).is_err(), "{size} of {} bytes", record.len());
     }
 }
 
 #[test]
 fn every_changed_byte_is_detected() {
-    let record = write(&two_overrides());
+    let record = encode_record(&two_overrides());
     for at in 0..record.len() {
         for change in [0x01, 0x20, 0x80] {
             let mut bytes = record.clone();
             bytes[at] ^= change;
-            // The case of a hexadecimal digit and the space before the version carry no meaning.
-            assert!(read(&bytes).is_err() || read(&bytes) == Ok(two_overrides()), "byte {at}");
+            // The case of a hexadecimal digit and the space before the version do not matter.
+            assert!(
+                decode_record(&bytes).is_err() || decode_record(&bytes) == Ok(two_overrides()),
+                "byte {at}"
+            );
         }
     }
 }
 
 #[test]
-fn unknown_version_is_refused() {
-    let text = String::from_utf8(write(&two_overrides())).unwrap().replace("words 1\n", "words 2\n");
-    assert_eq!(read(text.as_bytes()), Err(OverrideRecordError::UnknownVersion));
-    assert_eq!(read(&vec![b'x'; MAX_RECORD_BYTES + 1]), Err(OverrideRecordError::TooLarge));
+fn unknown_version_and_oversized_record_are_rejected() {
+    let text = String::from_utf8(encode_record(&two_overrides())).unwrap().replace("words 1\n", "words 2\n");
+    assert_eq!(decode_record(text.as_bytes()), Err(OverrideRecordError::UnknownVersion));
+    assert_eq!(decode_record(&vec![b'x'; MAX_RECORD_BYTES + 1]), Err(OverrideRecordError::TooLarge));
 }
--- a/operations/src/overrides.rs
+++ b/operations/src/overrides.rs
@@ -1,34 +1,34 @@
-//! Overrides of the endpoint list by operators. An override holds until the operators return the engine to the list's
-//! state. Two processes may receive different ones: for each engine the later one wins, so that merging in any order
-//! gives the same result.
+//! Operators' overrides of the endpoint list. An override applies until operators return the engine to its listed state.
+//! Two processes may receive different overrides: for each engine the latest one wins, so the result does not depend on the
+//! order of merging.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Engines taken out at most, and returned ones remembered at most, so that the record and what two processes
-/// merge stay small.
+/// Maximum number of engines that are taken out, and of returned engines that are kept. It bounds the size of the stored
+/// record and the work of a merge.
 pub const MAX_OVERRIDES: usize = 256;
 
 /// An operator's override of an engine's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Override {
-    /// Returned to service; it counts as started at that time.
+    /// Returned to service; the engine counts as started at the time of the override.
     Returned,
-    /// Taken out: nothing new is sent to it.
+    /// Taken out: no new attempts are sent to it.
     Out,
 }
 
-/// An override and when it was made.
+/// An override and its timestamp.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimedOverride {
-    /// When it was made; later than every override before it.
+    /// When it was made, adjusted to be later than every override that the process knew.
     pub at: Micros,
     /// The override.
     pub value: Override,
 }
 
-/// [`MAX_OVERRIDES`] engines are taken out already.
+/// The limit of [`MAX_OVERRIDES`] engines that are taken out is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooManyOverrides;
 
@@ -40,7 +40,7 @@
 
 impl std::error::Error for TooManyOverrides {}
 
-/// The latest override of each engine, by its name.
+/// The latest override of each engine, by the engine's id.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overrides {
     by_engine: BTreeMap<String, TimedOverride>,
@@ -52,7 +52,7 @@
         self.by_engine.get(engine).is_some_and(|timed| timed.value == Override::Out)
     }
 
-    /// When an engine was returned, if that was the last override.
+    /// When an engine was returned, if that is its latest override.
     pub fn returned_at(&self, engine: &str) -> Option<Micros> {
         self.by_engine.get(engine).filter(|timed| timed.value == Override::Returned).map(|timed| timed.at)
     }
@@ -62,15 +62,15 @@
         self.by_engine.contains_key(engine)
     }
 
-    /// All overrides, by engine.
+    /// All overrides, ordered by engine id.
     pub fn iter(&self) -> impl Iterator<Item = (&str, TimedOverride)> {
         self.by_engine.iter().map(|(engine, timed)| (engine.as_str(), *timed))
     }
 
-    /// Sets an override. Returns whether that changes anything: taking an engine out twice is taking it out once.
+    /// Sets an override. Returns whether the engine's state changed: taking an engine out again has no effect.
     ///
     /// # Errors
-    /// Where too many engines are taken out already.
+    /// If [`MAX_OVERRIDES`] engines are taken out already.
     pub fn set(&mut self, engine: &str, value: Override, now: Micros) -> Result<bool, TooManyOverrides> {
         let is_unchanged = self.is_out(engine) == (value == Override::Out);
         if is_unchanged {
@@ -79,15 +79,15 @@
         if value == Override::Out && self.count(Override::Out) >= MAX_OVERRIDES {
             return Err(TooManyOverrides);
         }
-        // Clocks of two processes differ, and may step back; a later override must be later all the same.
-        let last = self.by_engine.values().map(|timed| timed.at).max().unwrap_or_default();
-        let timed = TimedOverride { at: now.max(last.saturating_add(1)), value };
+        // The clocks of two processes may differ or step back, but a later call needs a later timestamp.
+        let latest = self.by_engine.values().map(|timed| timed.at).max().unwrap_or_default();
+        let timed = TimedOverride { at: now.max(latest.saturating_add(1)), value };
         self.by_engine.insert(engine.to_owned(), timed);
-        self.forget_oldest_returned();
+        self.remove_oldest_returned();
         Ok(true)
     }
 
-    /// Merges the overrides of another process. Returns the engines whose override has changed.
+    /// Merges the overrides of another process. Returns the engines whose override changed.
     pub fn merge(&mut self, other: &Self) -> Vec<String> {
         let mut changed = Vec::new();
         for (engine, timed) in &other.by_engine {
@@ -96,11 +96,11 @@
                 changed.push(engine.clone());
             }
         }
-        self.forget_oldest_returned();
+        self.remove_oldest_returned();
         changed
     }
 
-    /// Inserts an override as it was stored.
+    /// Inserts a stored override with its original timestamp.
     pub(crate) fn insert(&mut self, engine: String, timed: TimedOverride) {
         self.by_engine.insert(engine, timed);
     }
@@ -109,9 +109,9 @@
         self.by_engine.values().filter(|timed| timed.value == value).count()
     }
 
-    /// Forgets the oldest returned engines beyond the limit. They are remembered for the other process and for the slow
-    /// start; an engine that is taken out is never forgotten.
-    fn forget_oldest_returned(&mut self) {
+    /// Removes the oldest returned engines beyond the limit. Returned engines are kept for merges with the other process and
+    /// for the slow start. An engine that is taken out is never removed.
+    fn remove_oldest_returned(&mut self) {
         while self.count(Override::Returned) > MAX_OVERRIDES {
             let returned = self.by_engine.iter().filter(|(_, timed)| timed.value == Override::Returned);
             let oldest = returned.min_by_key(|(_, timed)| **timed);
--- a/operations/src/overrides/tests.rs
+++ b/operations/src/overrides/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn repeated_out_is_undone_by_one_return() {
+fn one_return_undoes_repeated_overrides() {
     let mut overrides = Overrides::default();
     assert_eq!(overrides.set("s-1", Override::Out, 10), Ok(true));
     assert_eq!(overrides.set("s-1", Override::Out, 20), Ok(false));
@@ -9,17 +9,17 @@
     assert_eq!(overrides.set("s-1", Override::Returned, 30), Ok(true));
     assert!(!overrides.is_out("s-1"));
     assert_eq!(overrides.returned_at("s-1"), Some(30));
-    assert_eq!(overrides.set("s-1", Override::Returned, 40), Ok(false), "it was returned already");
+    assert_eq!(overrides.set("s-1", Override::Returned, 40), Ok(false), "the engine was returned already");
     assert_eq!(
         overrides.set("s-2", Override::Returned, 40),
         Ok(false),
-        "it was never out and needs no slow start"
+        "the engine was never out and needs no slow start"
     );
     assert_eq!(overrides.returned_at("s-2"), None);
 }
 
 #[test]
-fn later_override_holds_despite_a_clock_step() {
+fn later_override_wins_although_the_clock_stepped_back() {
     let mut overrides = Overrides::default();
     overrides.set("s-1", Override::Out, 1_000).unwrap();
     let mut other = overrides.clone();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn overrides_are_bounded_and_out_is_never_dropped() {
+fn overrides_are_bounded_and_engines_taken_out_are_kept() {
     let mut overrides = Overrides::default();
     for number in 0..MAX_OVERRIDES as u64 {
         overrides.set(&format!("out-{number}"), Override::Out, number).unwrap();
@@ -48,6 +48,6 @@
     assert_eq!(
         overrides.returned_at("out-1").map(|at| at >= 99_999),
         Some(true),
-        "the oldest are forgotten first"
+        "the oldest are removed first"
     );
 }
--- a/operations/tests/golden.rs
+++ b/operations/tests/golden.rs
@@ -1,6 +1,7 @@
-//! The record of the operators' overrides as the program wrote it before the names of its types changed.
+//! Golden file of the stored override record, written before its types were renamed: the format must not change, and records
+//! of earlier versions must remain readable.
 
-use reedwalk_operations::{Override, Overrides, read, write};
+use reedwalk_operations::{Override, Overrides, decode_record, encode_record};
 
 const GOLDEN: &str = include_str!("golden/words.txt");
 
@@ -14,11 +15,11 @@
 }
 
 #[test]
-fn overrides_are_written_as_before() {
-    assert_eq!(String::from_utf8(write(&overrides())).unwrap(), GOLDEN);
+fn written_record_matches_the_golden_file() {
+    assert_eq!(String::from_utf8(encode_record(&overrides())).unwrap(), GOLDEN);
 }
 
 #[test]
-fn overrides_of_the_version_before_are_read() {
-    assert_eq!(read(GOLDEN.as_bytes()), Ok(overrides()));
+fn golden_file_is_read() {
+    assert_eq!(decode_record(GOLDEN.as_bytes()), Ok(overrides()));
 }
--- a/operations/tests/model.rs
+++ b/operations/tests/model.rs
@@ -1,8 +1,8 @@
-//! Any order of overrides and hot restarts against a model, and any bytes against the reader of records.
+//! Property tests: random sequences of overrides and hot restarts compared with a model, and arbitrary bytes as a record.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
-use reedwalk_operations::{Override, Overrides, read, write};
+use reedwalk_operations::{Override, Overrides, decode_record, encode_record};
 use std::collections::BTreeSet;
 
 fn fixed_seed(cases: u32) -> Config {
@@ -16,55 +16,55 @@
 
 #[derive(Clone, Debug)]
 enum Operation {
-    /// A console call at one of the processes, whose clock is off by some microseconds.
+    /// A console call to one of the processes, with the time of its inaccurate clock in microseconds.
     Set { process: usize, engine: u8, out: bool, clock: u64 },
-    /// A process ends and the next starts from the record.
-    Replaced(usize),
-    /// A process reads the record.
-    Reads(usize),
+    /// A process ends, and its successor starts from the record.
+    Restart(usize),
+    /// A process merges the record.
+    Merge(usize),
 }
 
 fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
         4 => (0usize..2, 0u8..5, any::<bool>(), 0u64..50)
             .prop_map(|(process, engine, out, clock)| Operation::Set { process, engine, out, clock }),
-        1 => (0usize..2).prop_map(Operation::Replaced),
-        2 => (0usize..2).prop_map(Operation::Reads),
+        1 => (0usize..2).prop_map(Operation::Restart),
+        2 => (0usize..2).prop_map(Operation::Merge),
     ]
 }
 
 proptest! {
     #![proptest_config(fixed_seed(512))]
 
-    /// The model: the set of engines that are out, changed by each call in the order of the answers.
+    /// The model is the set of engines that are out, updated by each call in the order of the replies.
     #[test]
     fn two_processes_agree_on_the_latest_override(
         operations in prop::collection::vec(operation(), 1..60),
     ) {
-        let (mut record, mut model) = (write(&Overrides::default()), BTreeSet::new());
+        let (mut record, mut model) = (encode_record(&Overrides::default()), BTreeSet::new());
         let mut processes = [Overrides::default(), Overrides::default()];
         for operation in operations {
             match operation {
                 Operation::Set { process, engine, out, clock } => {
-                    // As a console call does: it merges the record, sets the override and writes the record.
+                    // Like a console call: merge the record, set the override, write the record.
                     let (overrides, name) = (&mut processes[process], format!("s-{engine}"));
-                    overrides.merge(&read(&record).unwrap());
+                    overrides.merge(&decode_record(&record).unwrap());
                     prop_assert_eq!(overrides.is_out(&name), model.contains(&name));
                     let changed = overrides.set(&name, if out { Override::Out } else { Override::Returned }, clock).unwrap();
                     prop_assert_eq!(changed, out != model.contains(&name));
                     if out { model.insert(name) } else { model.remove(&name) };
-                    record = write(overrides);
+                    record = encode_record(overrides);
                 }
-                Operation::Replaced(process) => processes[process] = read(&record).unwrap(),
-                Operation::Reads(process) => {
-                    processes[process].merge(&read(&record).unwrap());
+                Operation::Restart(process) => processes[process] = decode_record(&record).unwrap(),
+                Operation::Merge(process) => {
+                    processes[process].merge(&decode_record(&record).unwrap());
                     let out: BTreeSet<_> =
                         processes[process].iter().filter(|(_, timed)| timed.value == Override::Out).map(|(engine, _)| engine.to_owned()).collect();
                     prop_assert_eq!(&out, &model);
                 }
             }
         }
-        prop_assert_eq!(read(&record).unwrap(), read(&write(&read(&record).unwrap())).unwrap());
+        prop_assert_eq!(decode_record(&record).unwrap(), decode_record(&encode_record(&decode_record(&record).unwrap())).unwrap());
     }
 
     #[test]
@@ -89,14 +89,14 @@
     }
 
     #[test]
-    fn no_bytes_break_the_reader(bytes in prop::collection::vec(any::<u8>(), 0..200), length in 0usize..400) {
-        let _ = read(&bytes);
+    fn reader_accepts_only_written_records(bytes in prop::collection::vec(any::<u8>(), 0..200), length in 0usize..400) {
+        let _ = decode_record(&bytes);
         let mut overrides = Overrides::default();
         overrides.set("s-1", Override::Out, 7).unwrap();
-        let mut record = write(&overrides);
+        let mut record = encode_record(&overrides);
         record.truncate(length);
         record.extend(&bytes);
-        // A record that is accepted is the one that was written.
-        prop_assert!(read(&record).map_or(true, |read| read == overrides));
+        // If a record is accepted, it is the one that was written.
+        prop_assert!(decode_record(&record).map_or(true, |read| read == overrides));
     }
 }
