--- a/gateway/src/broker/admission.rs
+++ b/gateway/src/broker/admission.rs
@@ -147,7 +147,7 @@
             request: id,
             class: request.class,
             tenant: Default::default(),
-            ordering_key: request.idempotency_key.as_deref().map(reedwalk_settings::key),
+            ordering_key: request.idempotency_key.as_deref().map(reedwalk_settings::key_id),
             table_group: request.table_group.map(GroupId),
             time_left: request.deadline.saturating_duration_since(now),
             work: request.work,
--- a/gateway/src/broker/recovery_guard.rs
+++ b/gateway/src/broker/recovery_guard.rs
@@ -145,7 +145,7 @@
         let Some(idempotency_key) = request.idempotency_key.as_deref() else {
             return RecoveryVerdict::Admit(None);
         };
-        let key = reedwalk_settings::key(idempotency_key).0;
+        let key = reedwalk_settings::key_id(idempotency_key).0;
         match self.keys.on_request(key, key_rules(class), request.is_retry, &self.phases, now_ms) {
             KeyVerdict::First => RecoveryVerdict::Admit(None),
             KeyVerdict::Repeat { group, age } => {
@@ -168,7 +168,7 @@
         let Some(idempotency_key) = request.idempotency_key.as_deref() else { return };
         let group = self.groups.group_of(engine, class.scope);
         let now_ms = self.unix_ms(now);
-        if let Some(key) = self.keys.on_send(reedwalk_settings::key(idempotency_key).0, group, now_ms) {
+        if let Some(key) = self.keys.on_send(reedwalk_settings::key_id(idempotency_key).0, group, now_ms) {
             self.persist(PersistedEvent::IdempotencyKey(key));
         }
     }
--- a/gateway/src/persistence/restore.rs
+++ b/gateway/src/persistence/restore.rs
@@ -22,7 +22,7 @@
 fn digest(texts: impl IntoIterator<Item = impl AsRef<[u8]>>) -> u64 {
     // A zero byte after each text, so that two different lists never give the same bytes.
     let bytes: Vec<_> = texts.into_iter().flat_map(|text| [text.as_ref(), &[0]].concat()).collect();
-    reedwalk_settings::key(&bytes).0
+    reedwalk_settings::key_id(&bytes).0
 }
 
 /// The owner of this gateway's snapshots. The texts that are hashed here are part of the stored format.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings object of a deployment, read into the scheduler's settings and the values that only sockets need. The
-//! gateway and the simulator's adapter both use this package, so that there is one reader of it.
+//! Reads the settings object of a deployment into the scheduler's settings and the settings of network connections. The
+//! gateway and the simulator's adapter share this package, so that both interpret the object in the same way.
 //!
-//! Unknown keys are ignored; a number that makes no sense is read as 0, and the scheduler rejects it where 0 is invalid.
+//! Unknown keys are ignored. A negative number is read as 0, which the scheduler rejects where 0 is invalid.
 //!
 //! ```
 //! use std::time::Duration;
@@ -29,29 +29,29 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Longest duration that is accepted, in microseconds; a longer one is shortened to it.
+/// Maximum duration in microseconds; longer ones are reduced to it.
 const MAX_DURATION_US: f64 = 1e15;
-/// Time after which a connection that is not established has failed, where the settings do not say.
+/// Timeout for establishing a connection, if the settings have none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time after which engines close idle connections, where the settings do not say.
+/// Time after which engines close idle connections, if the settings have none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A duration from microseconds; negative ones are 0.
+/// Converts microseconds into a duration; a negative number becomes 0.
 pub fn duration_from_us(us: f64) -> Duration {
     Duration::from_micros(us.clamp(0.0, MAX_DURATION_US) as u64)
 }
 
-/// A duration from milliseconds; negative ones are 0.
+/// Converts milliseconds into a duration; a negative number becomes 0.
 pub fn duration_from_ms(ms: f64) -> Duration {
     duration_from_us(ms * 1000.0)
 }
 
-/// A number of zero or more; NaN, infinite and negative numbers are read as 0.
+/// The number itself if it is finite and not negative, otherwise 0.
 fn non_negative(number: f64) -> f64 {
     if number.is_finite() { number.max(0.0) } else { 0.0 }
 }
 
-/// The settings object could not be read.
+/// The settings object does not have the expected form.
 #[derive(Debug)]
 pub struct ReadError(serde_json::Error);
 
@@ -67,65 +67,70 @@
     }
 }
 
-/// The names behind the numbers that the scheduler uses, and the values that only sockets need.
+/// Settings that the scheduler does not use: the names of classes, zones and kinds, which it knows by index only, and the
+/// settings of network connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sockets {
-    /// Names of the classes.
+    /// Names of the classes, by index.
     pub classes: Vec<String>,
-    /// Names of the zones.
+    /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// Names of the kinds of machine.
+    /// Names of the kinds of machine, by index.
     pub kinds: Vec<String>,
-    /// A connection to an engine that is not established in this time has failed.
+    /// Timeout for establishing a connection to an engine.
     pub connect_timeout: Duration,
-    /// Engines close connections that are idle for this long.
+    /// Time after which engines close idle connections.
     pub idle_timeout: Duration,
-    /// Attempts in flight on one connection at most.
+    /// Maximum number of attempts in flight on one connection.
     pub max_attempts_per_connection: usize,
-    /// Requests that may be open at once.
+    /// Maximum number of open requests.
     pub max_open_requests: usize,
-    /// Whether gateways may send messages to each other; `None` where the settings do not say.
+    /// Whether gateways may send messages to each other; `None` if the settings do not state it.
     pub may_gossip: Option<bool>,
-    /// Whether a request may be hedged: have two attempts in flight at once.
+    /// Whether requests may be hedged, that is, have two attempts in flight at once.
     pub allows_hedging: bool,
 }
 
 impl Sockets {
-    /// The class of this name.
+    /// The id of the class with this name.
     pub fn class_id(&self, name: &str) -> Option<ClassId> {
         self.classes.iter().position(|class| class == name).map(ClassId)
     }
 }
 
-/// The settings object, read.
+/// The settings of a deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
-    /// For the scheduler.
+    /// Settings of the scheduler.
     pub scheduler: Settings,
-    /// For the sockets.
+    /// Names, and settings of network connections.
     pub sockets: Sockets,
 }
 
-/// An engine's load report, each value found by its name on the wire.
-pub fn load_report(read: impl Fn(&str) -> Option<f64>) -> LoadReport {
+/// Builds an engine's load report; `lookup` returns a value by its name on the wire.
+pub fn load_report(lookup: impl Fn(&str) -> Option<f64>) -> LoadReport {
     LoadReport {
-        queue: read("queue"),
-        cpu: read("util"),
-        memory: read("x0"),
-        disk: read("x1"),
-        in_flight: read("inflight"),
+        queue: lookup("queue"),
+        cpu: lookup("util"),
+        memory: lookup("x0"),
+        disk: lookup("x1"),
+        in_flight: lookup("inflight"),
     }
 }
 
-/// An idempotency key as a number (FNV-1a), so that its text need not be stored.
-pub fn key(text: &[u8]) -> KeyId {
-    KeyId(text.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)))
+/// The 64-bit FNV-1a hash of an idempotency key, which is stored instead of the text.
+pub fn key_id(key: &[u8]) -> KeyId {
+    KeyId(
+        key.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+            (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
+        }),
+    )
 }
 
 /// Reads the settings object.
 ///
 /// # Errors
-/// Where it does not have the expected form.
+/// If it does not have the expected form.
 pub fn read(value: &serde_json::Value) -> Result<Deployment, ReadError> {
     let object = SettingsObject::deserialize(value).map_err(ReadError)?;
     Ok(Deployment { scheduler: scheduler_settings(&object), sockets: sockets(object) })
@@ -167,7 +172,7 @@
     settings
 }
 
-/// The kinds of machine; memory that is not named is 0.
+/// The kinds of machine; a kind without a memory size has 0.
 fn kinds(traits: &EngineTraitsObject) -> Vec<KindSettings> {
     let memory_mb = |index: usize| traits.memory_by_kind_mb.get(index).copied().map_or(0.0, non_negative);
     let kinds = traits.cores_by_kind.iter().enumerate();
@@ -183,7 +188,7 @@
     }
 }
 
-/// Replaces the rules' defaults where the object says otherwise. There is a retry budget only with a window for it.
+/// Overrides the default rules with those of the object. Without a retry window there is no retry budget.
 fn read_rules(object: &RulesObject, rules: &mut Rules) {
     let durations = [
         (&mut rules.answer_slack, object.answer_slack_us),
@@ -232,7 +237,7 @@
     }
 }
 
-/// What a retry of the class's requests would do; what is not named must not run twice.
+/// The idempotency of the class's requests; requests of an unknown or missing one must not run twice.
 fn idempotency(object: &ClassObject) -> Idempotency {
     let scope = match object.deduplication_scope.as_str() {
         "zone" => KeyScope::Zone,
--- a/settings/src/object.rs
+++ b/settings/src/object.rs
@@ -1,8 +1,8 @@
-//! The settings object as it stands in a deployment's file. Fields have this program's names; `rename` holds the key.
+//! Serialised form of the settings object. Fields use the names of this program; `rename` gives the key in the file.
 
 use serde::Deserialize;
 
-/// The whole object.
+/// The settings object.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct SettingsObject {
@@ -76,7 +76,7 @@
     pub(crate) quota_per_s: f64,
 }
 
-/// What a gateway is allowed to do.
+/// Limits and permissions of a gateway.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct LimitsObject {
@@ -99,7 +99,7 @@
     pub(crate) allows_hedging: bool,
 }
 
-/// Figures of the platform's rules.
+/// Parameters of the platform's rules.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct RulesObject {
@@ -122,7 +122,7 @@
     pub(crate) retry_window_us: Option<f64>,
 }
 
-/// How engines run queries; lists go by class or by kind of machine.
+/// Properties of the engines. Lists are indexed by class or by kind of machine.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct EngineTraitsObject {
--- a/settings/tests/keys.rs
+++ b/settings/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Every key of the settings object, as it stands in the files of deployments, and the field that it becomes.
+//! Checks the key of every setting in the settings object and the field that it is read into.
 
 use reedwalk_scheduler::*;
 use reedwalk_settings::{Deployment, Sockets, read};
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn classes_alone_are_enough() {
+fn all_keys_but_the_classes_are_optional() {
     let Deployment { scheduler, sockets } = read(&json!({"RequestClasses": [], "Unknown": 1})).unwrap();
     let mut defaults = Settings::new(Vec::new(), Vec::new());
     (defaults.tick, defaults.limits.max_attempts) = (Duration::ZERO, u32::MAX);
--- a/simulator-adapter/src/adapter.rs
+++ b/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! All instances of a simulation: one line of the simulator in, one line of messages out.
+//! Runs all scheduler instances of a simulation: for each input line of events it writes one line of messages.
 
 use crate::gossip;
 use crate::instance::{Instance, Reply, UnknownSheet};
@@ -8,16 +8,16 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What is wrong with one event.
+/// Why an event was rejected.
 #[derive(Debug)]
 pub enum EventError {
-    /// It is not a message of the simulator.
+    /// It is not a valid message of the simulator.
     Json(serde_json::Error),
     /// The settings object of a new instance could not be read.
     SettingsObject(ReadError),
-    /// The scheduler rejects the settings of a new instance.
+    /// The scheduler rejected the settings of a new instance.
     Settings(SettingsError),
-    /// An endpoint list was not sent before.
+    /// It refers to an endpoint list that was not sent before.
     Endpoints(UnknownSheet),
 }
 
@@ -32,12 +32,12 @@
     }
 }
 
-/// What is wrong with a line.
+/// Why an input line was rejected.
 #[derive(Debug)]
 pub enum LineError {
-    /// It is not a batch of events.
+    /// It is not a valid batch of events.
     Json(serde_json::Error),
-    /// The position of an event, counted from 1, and what is wrong with it.
+    /// The position of the invalid event, counted from 1, and its error.
     Event(usize, EventError),
 }
 
@@ -70,40 +70,40 @@
     }
 }
 
-/// All instances, and the endpoint lists that they were sent.
+/// All instances of the simulation, and the endpoint lists that the simulator has sent.
 pub struct Adapter {
-    /// Instances gossip, where their settings allow it.
+    /// Whether instances gossip, if their settings allow it.
     with_gossip: bool,
     instances: BTreeMap<u64, Instance>,
-    /// Endpoint lists by their numbers.
+    /// Endpoint lists by sheet number.
     sheets: BTreeMap<u64, Vec<wire::EndpointLine>>,
 }
 
 impl Adapter {
-    /// An adapter with no instance yet.
+    /// Creates an adapter without instances.
     pub fn new(with_gossip: bool) -> Self {
         Self { with_gossip, instances: BTreeMap::new(), sheets: BTreeMap::new() }
     }
 
-    /// Answers one line: takes in its events, then addressed each instance that they are for.
+    /// Processes one line: applies its events, then runs each instance that received one, and appends the reply line.
     ///
     /// # Errors
-    /// Where the line or one of its events is invalid; earlier events of the line stay taken in.
-    pub fn answer(&mut self, line: &str, reply: &mut Vec<u8>) -> Result<(), LineError> {
+    /// If the line or one of its events is invalid. Earlier events of the line remain applied.
+    pub fn process_line(&mut self, line: &str, reply: &mut Vec<u8>) -> Result<(), LineError> {
         let batch: wire::Batch = serde_json::from_str(line).map_err(LineError::Json)?;
-        let mut addressed = Vec::new();
+        let mut receivers = Vec::new();
         for (position, raw) in batch.inbox.iter().enumerate() {
             let event_error = |error| LineError::Event(position + 1, error);
             let event = serde_json::from_str(raw.get()).map_err(EventError::Json).map_err(event_error)?;
             if let Some(id) = self.on_event(event, batch.at_us).map_err(event_error)?
-                && !addressed.contains(&id)
+                && !receivers.contains(&id)
             {
-                addressed.push(id);
+                receivers.push(id);
             }
         }
         reply.extend_from_slice(b"{\"do\":[");
         let mut messages = Reply::new(reply);
-        for id in addressed {
+        for id in receivers {
             if let Some(instance) = self.instances.get_mut(&id) {
                 instance.run(batch.at_us, &mut messages);
             }
@@ -112,9 +112,9 @@
         Ok(())
     }
 
-    /// Takes in one message. Returns the instance that it is for, if there is one.
-    fn on_event(&mut self, message: Incoming, at_us: u64) -> Result<Option<u64>, EventError> {
-        let id = match message {
+    /// Applies one event. Returns the id of the instance that received it, if any.
+    fn on_event(&mut self, event: Incoming, at_us: u64) -> Result<Option<u64>, EventError> {
+        let id = match event {
             Incoming::Directory { sheet, entries } => {
                 self.sheets.insert(sheet, entries);
                 return Ok(None);
@@ -138,11 +138,11 @@
             | Incoming::NoteFrom { controller_id, .. } => controller_id,
         };
         let Some(instance) = self.instances.get_mut(&id) else { return Ok(None) };
-        if let Incoming::Endpoints { kind, sheet, .. } = &message {
+        if let Incoming::Endpoints { kind, sheet, .. } = &event {
             let sheet = sheet.and_then(|sheet| self.sheets.get(&sheet));
             instance.on_endpoints(kind, sheet, at_us).map_err(EventError::Endpoints)?;
         } else {
-            instance.on_message(message, at_us);
+            instance.on_message(event, at_us);
         }
         Ok(Some(id))
     }
--- a/simulator-adapter/src/convert.rs
+++ b/simulator-adapter/src/convert.rs
@@ -1,15 +1,16 @@
-//! From the simulator's numbers to the scheduler's types.
+//! Conversions from the simulator's values to the scheduler's types.
 
 use crate::wire;
 use reedwalk_scheduler::{EngineState, LoadReport, Outcome, ProgressReport, ResourceUsage};
 use std::time::Duration;
 
-/// Usage is packed into one number: milliseconds of work times this, plus memory in units ...
+/// Resource usage is packed into one number: the work in milliseconds times this factor, plus the memory in units of
+/// [`USAGE_MEMORY_UNIT_MB`].
 const USAGE_WORK_FACTOR: u64 = 4096;
-/// ... of so many MB.
+/// Unit of the memory in packed usage, in MB.
 const USAGE_MEMORY_UNIT_MB: u64 = 4;
 
-/// The outcome of an attempt, from the number of a system error.
+/// Converts the outcome of an attempt, which the simulator reports as a Linux error number (`errno`).
 pub fn outcome(code: u32) -> Outcome {
     match code {
         0 => Outcome::Ok,
@@ -23,12 +24,12 @@
     }
 }
 
-/// The load report of an engine.
-pub fn load(report: &wire::LoadValues) -> LoadReport {
+/// Converts an engine's load report.
+pub fn load_report(report: &wire::LoadValues) -> LoadReport {
     reedwalk_settings::load_report(|name| report.get(name).copied())
 }
 
-/// The resources that a served query used; `None` where nothing or 0 is reported.
+/// Unpacks the resources that a query used; `None` if nothing or 0 is reported.
 pub fn usage(packed: Option<u64>) -> Option<ResourceUsage> {
     let packed = packed.filter(|packed| *packed > 0)?;
     Some(ResourceUsage {
@@ -37,7 +38,7 @@
     })
 }
 
-/// An engine's report on an attempt; `None` for a kind that is not known.
+/// Converts an engine's progress report on an attempt; `None` if its kind is unknown.
 pub fn progress(kind: u32, value: f64) -> Option<ProgressReport> {
     match (kind, value) {
         (1, _) => Some(ProgressReport::Done(value)),
@@ -48,7 +49,7 @@
     }
 }
 
-/// The state of an engine; one that is not known counts as removed.
+/// Converts the state of an engine; an unknown one counts as removed.
 pub fn engine_state(state: &str) -> EngineState {
     match state {
         "in_service" => EngineState::InService,
--- a/simulator-adapter/src/gossip.rs
+++ b/simulator-adapter/src/gossip.rs
@@ -1,5 +1,5 @@
-//! Gossip among simulated gateways: the same decisions as in the program, with the simulator's notes in place of its
-//! datagrams. Off unless the adapter is started with `--peers`, and where the settings forbid it.
+//! Gossip between simulated gateways. It uses the same logic as the gateway, with the simulator's notes in place of the
+//! gateway's datagrams. It is enabled by the flag `--peers`, for instances whose settings allow it.
 
 use base64::Engine;
 use base64::prelude::BASE64_STANDARD;
@@ -15,39 +15,40 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-/// The simulator's clock may start at 0; that of the gossip starts late enough for every datagram to be recent.
-const START: Millis = 1_000_000_000;
-/// Bytes that a gateway sends a second at most.
+/// Offset from the simulator's clock to the gossip clock. The simulator's clock may start at 0; the offset makes the gossip
+/// clock start late enough that every datagram counts as recent.
+const CLOCK_OFFSET_MS: Millis = 1_000_000_000;
+/// Maximum number of bytes that a gateway sends per second.
 const MAX_BYTES_PER_SECOND: u32 = 8 * 1024;
-/// How often the observations of engines are taken.
-const OBSERVATION_INTERVAL: Millis = 1_000;
+/// Interval at which the scheduler's observations of engines are passed to gossip.
+const OBSERVATION_INTERVAL_MS: Millis = 1_000;
 
-/// The gossip of one simulated gateway.
+/// The gossip node of one simulated gateway.
 pub struct GossipPeer {
     node: GossipNode,
-    /// The listed engines with the second of their start.
-    listed: BTreeMap<EngineKey, u32>,
+    /// Listed engines with their start times, in seconds of the gossip clock.
+    listed_engines: BTreeMap<EngineKey, u32>,
     engine_by_key: HashMap<EngineKey, EngineId>,
     key_by_engine: HashMap<EngineId, EngineKey>,
     next_observation: Millis,
     /// The engine of each attempt in flight.
     in_flight: HashMap<RequestId, EngineId>,
-    /// Requests that an engine has answered with an error.
-    with_error: HashSet<RequestId>,
+    /// Requests of which an attempt has failed with an error.
+    requests_with_errors: HashSet<RequestId>,
 }
 
-/// A time of the simulator in milliseconds of the gossip's clock.
+/// Converts a time of the simulator into milliseconds of the gossip clock.
 pub fn millis(at_us: u64) -> Millis {
-    START + at_us / 1000
+    CLOCK_OFFSET_MS + at_us / 1000
 }
 
-/// A time of the simulator in seconds of the gossip's clock.
-fn unix_second(at: Time) -> u32 {
+/// Converts a time of the simulator into seconds of the gossip clock.
+fn gossip_second(at: Time) -> u32 {
     (millis(at.0) / 1000) as u32
 }
 
 impl GossipPeer {
-    /// A gateway that starts now; `None` where it may not send messages, or is alone.
+    /// Creates the node of a gateway that starts at `now`; `None` if the gateway may not send messages or has no peers.
     pub fn new(deployment: &Deployment, seed: u64, now: Millis) -> Option<Self> {
         let settings = &deployment.scheduler;
         let is_enabled = deployment.sockets.may_gossip.unwrap_or(false) && settings.gateways > 1;
@@ -62,52 +63,54 @@
         };
         is_enabled.then(|| Self {
             node: GossipNode::new(setup, now),
-            listed: BTreeMap::new(),
+            listed_engines: BTreeMap::new(),
             engine_by_key: HashMap::new(),
             key_by_engine: HashMap::new(),
             next_observation: now,
             in_flight: HashMap::new(),
-            with_error: HashSet::new(),
+            requests_with_errors: HashSet::new(),
         })
     }
 
-    /// Takes in a note from another gateway; one that can't be read is ignored.
+    /// Handles a note from another gateway; an invalid one is ignored.
     pub fn on_note(&mut self, from: u64, body: &str, now: Millis) {
         let bytes = BASE64_STANDARD.decode(body).unwrap_or_default();
         let _ = self.node.on_datagram(PeerId::try_from(from).ok(), &bytes, now);
     }
 
-    /// Takes in a change of an engine.
+    /// Handles a change of an engine's entry in the endpoint list.
     pub fn on_endpoint(&mut self, name: &str, entry: &EngineEntry, now: Millis) {
         let key = EngineKey::from(name);
         if entry.state == EngineState::Removed {
-            self.listed.remove(&key);
+            self.listed_engines.remove(&key);
         } else {
-            self.listed.insert(key, entry.started.map_or(0, unix_second));
+            self.listed_engines.insert(key, entry.started.map_or(0, gossip_second));
             self.engine_by_key.insert(key, entry.engine);
             self.key_by_engine.insert(entry.engine, key);
         }
-        self.node.set_engines(&self.listed, now);
+        self.node.set_engines(&self.listed_engines, now);
     }
 
-    /// Takes in the end of an attempt.
+    /// Handles the end of an attempt. Of the errors of one request only the first is reported.
     pub fn on_attempt_ended(&mut self, ended: &AttemptEnded, now: Millis) {
         let Some(engine) = self.in_flight.remove(&ended.request) else { return };
-        let is_repeated = ended.outcome == Outcome::Error && !self.with_error.insert(ended.request);
+        let is_repeated = ended.outcome == Outcome::Error && !self.requests_with_errors.insert(ended.request);
         let failed = matches!(ended.outcome, Outcome::Error | Outcome::Reset | Outcome::ConnectFailed);
         if failed && !is_repeated {
             self.report(engine, FactKind::AttemptFailed, now, now);
         }
         if ended.closed {
-            self.with_error.remove(&ended.request);
+            self.requests_with_errors.remove(&ended.request);
         }
     }
 
-    /// Takes in an action of the scheduler.
+    /// Handles an action of the scheduler.
     pub fn on_action(&mut self, action: &Action, now: Millis) {
         match action {
             Action::Send { request, engine, .. } => _ = self.in_flight.insert(*request, *engine),
-            Action::Reject { request, .. } | Action::Fail { request } => _ = self.with_error.remove(request),
+            Action::Reject { request, .. } | Action::Fail { request } => {
+                _ = self.requests_with_errors.remove(request)
+            }
             Action::EngineEjected { engine, unresponsive, duration } => {
                 let kind = if *unresponsive { FactKind::Silent } else { FactKind::Failing };
                 self.report(*engine, kind, now + duration.as_millis() as Millis, now);
@@ -122,23 +125,23 @@
         }
     }
 
-    /// Takes the scheduler's observations of engines, when they are due.
+    /// Passes the scheduler's observations of engines to gossip, if they are due.
     pub fn observe(&mut self, scheduler: &Scheduler, now: Millis) {
         if now < self.next_observation {
             return;
         }
-        self.next_observation = now + OBSERVATION_INTERVAL;
-        let mut observed = Vec::new();
+        self.next_observation = now + OBSERVATION_INTERVAL_MS;
+        let mut observations = Vec::new();
         for observation in scheduler.observations() {
             if let Some(&engine) = self.key_by_engine.get(&observation.engine) {
                 let EngineObservation { slowdown, threads, .. } = observation;
-                observed.push(OwnObservation { engine, slowdown, threads });
+                observations.push(OwnObservation { engine, slowdown, threads });
             }
         }
-        self.node.set_observations(&observed, now);
+        self.node.set_observations(&observations, now);
     }
 
-    /// The notes to be sent now, encoded, with their receivers, and the events for the scheduler.
+    /// Returns the notes to send now, Base64-encoded and with their receivers, and the events for the scheduler.
     pub fn act(&mut self, now: Millis) -> (Vec<(u64, String)>, Vec<Event>) {
         let (mut actions, mut notes, mut events) = (Vec::new(), Vec::new(), Vec::new());
         self.node.act(now, &mut actions);
@@ -160,7 +163,7 @@
     fn observation_event(&self, observation: SharedObservation) -> Option<Event> {
         match observation {
             SharedObservation::Restarted(key, second) => {
-                let started = Time((u64::from(second) * 1000).saturating_sub(START) * 1000);
+                let started = Time((u64::from(second) * 1000).saturating_sub(CLOCK_OFFSET_MS) * 1000);
                 Some(Event::EngineRestarted { engine: *self.engine_by_key.get(&key)?, started })
             }
             SharedObservation::Slow(key, slowdown) => {
--- a/simulator-adapter/src/gossip/tests.rs
+++ b/simulator-adapter/src/gossip/tests.rs
@@ -14,13 +14,13 @@
 }
 
 #[test]
-fn reports_of_several_peers_eject_an_engine() {
+fn failure_reports_of_several_peers_eject_an_engine() {
     let mut peers: Vec<_> = (0..6).map(|n| peer(n, Some(true)).unwrap()).collect();
     let mut received = Vec::new();
     for step in 1..100 {
         let now = millis(step * 20_000);
         if step < 5 {
-            // One request each fails at engine 2.
+            // In each of the first steps, a request of another peer fails on engine 2.
             let request = RequestId(step);
             let peer = &mut peers[step as usize];
             peer.on_action(&Action::Send { request, engine: EngineId(2), timeout: None }, now);
--- a/simulator-adapter/src/instance.rs
+++ b/simulator-adapter/src/instance.rs
@@ -1,6 +1,6 @@
-//! One instance of the scheduler in the simulation, and the names behind the ids that it knows.
+//! One scheduler instance of the simulation. It maps the simulator's names of requests and engines to the scheduler's ids.
 
-use crate::convert::{engine_state, load, outcome, progress, usage};
+use crate::convert::{engine_state, load_report, outcome, progress, usage};
 use crate::gossip::{self, GossipPeer};
 use crate::wire::{self, Incoming, Outgoing};
 use reedwalk_scheduler::{
@@ -12,33 +12,33 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-/// A request's name, kept until it is ended and no attempt is in flight.
+/// The simulator's name of a request, kept until the request has ended and none of its attempts is in flight.
 struct Handle {
     name: String,
     in_flight: u32,
     ended: bool,
 }
 
-/// An endpoint list is named by a sheet that was not sent.
+/// A message refers to an endpoint list (a sheet) that was not sent.
 #[derive(Debug)]
 pub struct UnknownSheet;
 
 impl fmt::Display for UnknownSheet {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("names a sheet not sent")
+        f.write_str("refers to a sheet that was not sent")
     }
 }
 
 impl std::error::Error for UnknownSheet {}
 
-/// Messages to the simulator, as elements of a JSON array.
+/// Writes messages to the simulator as elements of a JSON array.
 pub struct Reply<'a> {
     bytes: &'a mut Vec<u8>,
     is_first: bool,
 }
 
 impl<'a> Reply<'a> {
-    /// An array that has just been opened in `bytes`.
+    /// Starts with an empty array, whose opening bracket is already in `bytes`.
     pub fn new(bytes: &'a mut Vec<u8>) -> Self {
         Self { bytes, is_first: true }
     }
@@ -51,13 +51,13 @@
     }
 }
 
-/// One instance.
+/// One scheduler instance.
 pub struct Instance {
     id: u64,
     scheduler: Scheduler,
     events: Vec<Event>,
     engine_ids: HashMap<String, EngineId>,
-    /// Addresses of the engines, by their ids.
+    /// Addresses of the engines, indexed by id.
     addresses: Vec<String>,
     requests: HashMap<String, RequestId>,
     handles: HashMap<RequestId, Handle>,
@@ -80,7 +80,7 @@
         }
     }
 
-    fn engine(&mut self, address: &str) -> EngineId {
+    fn engine_id(&mut self, address: &str) -> EngineId {
         if let Some(&id) = self.engine_ids.get(address) {
             return id;
         }
@@ -107,14 +107,14 @@
         }
     }
 
-    fn request(&self, name: &str) -> Option<RequestId> {
+    fn request_id(&self, name: &str) -> Option<RequestId> {
         self.requests.get(name).copied()
     }
 
-    /// Takes in the endpoint list, or changes to it.
+    /// Handles an endpoint list or changes to it.
     ///
     /// # Errors
-    /// Where it names a sheet that was not sent.
+    /// If the message refers to a sheet that was not sent.
     pub fn on_endpoints(
         &mut self,
         kind: &str,
@@ -131,14 +131,14 @@
             _ => EndpointScope::Complete,
         };
         let lines = sheet.ok_or(UnknownSheet)?;
-        let entries = lines.iter().map(|line| self.entry(line, at_us)).collect();
+        let entries = lines.iter().map(|line| self.engine_entry(line, at_us)).collect();
         self.events.push(Event::Endpoints { scope, entries });
         Ok(())
     }
 
-    fn entry(&mut self, line: &wire::EndpointLine, at_us: u64) -> EngineEntry {
+    fn engine_entry(&mut self, line: &wire::EndpointLine, at_us: u64) -> EngineEntry {
         let entry = EngineEntry {
-            engine: self.engine(&line.address),
+            engine: self.engine_id(&line.address),
             zone: line.zone.map(ZoneId),
             kind: line.kind.map(KindId),
             cell: line.cell.map(CellId),
@@ -151,7 +151,7 @@
         entry
     }
 
-    /// Any other message of the simulator.
+    /// Handles any other message of the simulator.
     pub fn on_message(&mut self, message: Incoming, at_us: u64) {
         let event = match message {
             Incoming::NoteFrom { sender, body, .. } => {
@@ -163,8 +163,8 @@
             Incoming::Ingress { .. } => self.arrival(message),
             Incoming::TickDue { .. } => Some(Event::WakeUp),
             Incoming::ProbeDone { code, address, load: report, .. } => {
-                let engine = self.engine(&address);
-                let load = report.as_ref().map(load);
+                let engine = self.engine_id(&address);
+                let load = report.as_ref().map(load_report);
                 Some(Event::HealthChecked { engine, outcome: outcome(code), load })
             }
             other => self.request_event(other),
@@ -192,7 +192,7 @@
             request: self.add_request(handle),
             class: ClassId(class),
             tenant: TenantId(tenant),
-            ordering_key: ordering_key.map(|key| reedwalk_settings::key(key.as_bytes())),
+            ordering_key: ordering_key.map(|key| reedwalk_settings::key_id(key.as_bytes())),
             table_group: table_group.map(|group| GroupId(group as u64)),
             time_left: Duration::from_micros(time_left_us.max(0) as u64),
             work: work_estimate_us
@@ -204,33 +204,33 @@
         }))
     }
 
-    /// What has become of a request that is known.
+    /// The event of a message about a request; `None` if the request is unknown.
     fn request_event(&self, message: Incoming) -> Option<Event> {
         match message {
             Incoming::Accepted { handle, attempt, .. } => {
-                let request = self.request(&handle)?;
+                let request = self.request_id(&handle)?;
                 Some(Event::StreamStarted { request, attempt: AttemptNo(attempt) })
             }
             Incoming::Progress { handle, attempt, kind, value, .. } => {
-                let (request, report) = (self.request(&handle)?, progress(kind, value)?);
+                let (request, report) = (self.request_id(&handle)?, progress(kind, value)?);
                 Some(Event::Progress { request, attempt: AttemptNo(attempt), report })
             }
             Incoming::Reply { handle, attempt, code, closed, packed_usage, load: report, .. } => {
                 Some(Event::Ended(AttemptEnded {
-                    request: self.request(&handle)?,
+                    request: self.request_id(&handle)?,
                     attempt: AttemptNo(attempt),
                     outcome: outcome(code),
                     closed,
                     usage: usage(packed_usage),
-                    load: report.as_ref().map(load),
+                    load: report.as_ref().map(load_report),
                 }))
             }
-            Incoming::Hangup { handle, .. } => self.request(&handle).map(Event::ClientDisconnected),
+            Incoming::Hangup { handle, .. } => self.request_id(&handle).map(Event::ClientDisconnected),
             _ => None,
         }
     }
 
-    /// Steps the scheduler until gossip brings no further events.
+    /// Runs steps of the scheduler until gossip returns no more events.
     pub fn run(&mut self, at_us: u64, reply: &mut Reply<'_>) {
         let mut events = std::mem::take(&mut self.events);
         while let Some(gossip_events) = self.step(at_us, &events, reply) {
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Steps the scheduler once and carries out its actions. Returns the events that gossip then brings, if any.
+    /// Runs one step of the scheduler and sends its actions. Returns the events that gossip has for the next step, if any.
     fn step(&mut self, at_us: u64, events: &[Event], reply: &mut Reply<'_>) -> Option<Vec<Event>> {
         let mut actions = Vec::new();
         let step = catch_unwind(AssertUnwindSafe(|| self.scheduler.step(Time(at_us), events, &mut actions)));
@@ -247,7 +247,7 @@
             return None;
         }
         let now = gossip::millis(at_us);
-        self.forget_ended(events, now);
+        self.process_ended_requests(events, now);
         for action in &actions {
             if let Some(gossip) = &mut self.gossip {
                 gossip.on_action(action, now);
@@ -263,8 +263,8 @@
         (!gossip_events.is_empty()).then_some(gossip_events)
     }
 
-    /// Forgets the names of requests that have ended.
-    fn forget_ended(&mut self, events: &[Event], now: reedwalk_gossip::Millis) {
+    /// Reports ended attempts to gossip, and removes the names of requests that have ended.
+    fn process_ended_requests(&mut self, events: &[Event], now: reedwalk_gossip::Millis) {
         for event in events {
             if let Event::Ended(ended) = event {
                 if let Some(gossip) = &mut self.gossip {
@@ -314,7 +314,7 @@
         self.addresses.get(engine.0 as usize).map(String::as_str)
     }
 
-    /// The message of an action for one request, if that is still known.
+    /// The message for an action on a request; `None` if the request is no longer known.
     fn request_action(&self, action: &Action) -> Option<Outgoing<'_>> {
         let controller_id = self.id;
         let name = |request: &RequestId| self.handles.get(request).map(|handle| handle.name.as_str());
@@ -346,7 +346,7 @@
     }
 }
 
-/// The line that the simulator's log has for an ejected engine.
+/// The line in the simulator's log for an ejected engine.
 fn ejection_text(engine: EngineId, unresponsive: bool) -> String {
     format!("quarantine engine {} {}", engine.0, if unresponsive { "silent" } else { "fails" })
 }
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Speaks the simulator's wire on standard input and output; each instance is a [`Scheduler`](reedwalk_scheduler::Scheduler)
-//! of its own. One line of JSON in is a batch of events, one line out is what the instances do about them.
+//! Connects the scheduler to the simulator, whose protocol it uses on standard input and output. Each instance is a separate
+//! [`Scheduler`](reedwalk_scheduler::Scheduler). Each input line is a JSON object with a batch of events, and each output line
+//! holds the messages with which the instances react.
 //!
 //! ```text
 //! $ reedwalk-adapter < tests/script.jsonl
@@ -7,8 +8,8 @@
 //! ...
 //! ```
 //!
-//! `--peers` lets instances gossip, where their settings allow it. An invalid line ends the program with a message and a
-//! status that is not 0.
+//! `--peers` enables gossip between instances whose settings allow it. On an invalid line the program prints an error and exits
+//! with a non-zero status.
 #![forbid(unsafe_code)]
 
 mod adapter;
@@ -26,20 +27,20 @@
     let with_gossip = std::env::args().skip(1).any(|argument| argument == "--peers");
     let mut adapter = Adapter::new(with_gossip);
     let (mut line, mut reply) = (String::new(), Vec::new());
-    for number in 1.. {
+    for line_number in 1.. {
         line.clear();
         match input.read_line(&mut line) {
             Ok(0) => break,
             Ok(_) if line.trim().is_empty() => continue,
             Ok(_) => {}
             Err(error) => {
-                eprintln!("reedwalk-adapter: line {number}: {error}");
+                eprintln!("reedwalk-adapter: line {line_number}: {error}");
                 return ExitCode::FAILURE;
             }
         }
         reply.clear();
-        if let Err(error) = adapter.answer(&line, &mut reply) {
-            eprintln!("reedwalk-adapter: line {number}: {error}");
+        if let Err(error) = adapter.process_line(&line, &mut reply) {
+            eprintln!("reedwalk-adapter: line {line_number}: {error}");
             return ExitCode::FAILURE;
         }
         if output.write_all(&reply).and_then(|()| output.flush()).is_err() {
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's messages as they stand on the wire. Variants have the names on the wire; fields have this program's
-//! names, and `rename` holds the name on the wire.
+//! Messages of the simulator's protocol. Variants have the names that are used on the wire. Fields have the names of this
+//! program, and `rename` gives the name on the wire.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -28,19 +28,19 @@
     pub cell: Option<u64>,
     #[serde(rename = "StageState")]
     pub state: String,
-    /// When it last started, in microseconds; 0 for long ago.
+    /// Time of its last start in microseconds; 0 if that was long ago.
     #[serde(rename = "StartedAtUs", default)]
     pub started_at_us: u64,
 }
 
-/// An engine's load report: its values by their names.
+/// The values of an engine's load report, by name.
 pub type LoadValues = BTreeMap<String, f64>;
 
 /// A message from the simulator.
 #[derive(Deserialize)]
 #[serde(tag = "op", rename_all_fields = "PascalCase")]
 pub enum Incoming {
-    /// A new instance.
+    /// An instance starts.
     Spawn {
         controller_id: u64,
         #[serde(default)]
@@ -50,15 +50,15 @@
     },
     /// An instance ends.
     Detach { controller_id: u64 },
-    /// An endpoint list, by the number that [`Self::Endpoints`] names.
+    /// An endpoint list and its number, to which [`Self::Endpoints`] refers.
     Directory {
         sheet: u64,
         #[serde(rename = "Lines")]
         entries: Vec<EndpointLine>,
     },
-    /// The endpoint list of an instance, or changes to it.
+    /// An instance receives an endpoint list or changes to it.
     Endpoints { controller_id: u64, kind: String, sheet: Option<u64> },
-    /// A request of a client.
+    /// A client sends a request.
     Ingress {
         controller_id: u64,
         handle: String,
@@ -103,12 +103,12 @@
         handle: String,
         #[serde(rename = "Leg", default)]
         attempt: u32,
-        /// Number of a system error; 0 for served.
+        /// Linux error number (`errno`); 0 for success.
         #[serde(default)]
         code: u32,
         #[serde(default)]
         closed: bool,
-        /// Work and memory in one number.
+        /// Work and memory, packed into one number.
         #[serde(rename = "Bill")]
         packed_usage: Option<u64>,
         #[serde(rename = "Feedback")]
@@ -116,7 +116,7 @@
     },
     /// A client has disconnected.
     Hangup { controller_id: u64, handle: String },
-    /// The wake-up of an [`Outgoing::Schedule`].
+    /// The timer of an [`Outgoing::Schedule`] has expired.
     TickDue { controller_id: u64 },
     /// A health check has ended.
     ProbeDone {
@@ -128,7 +128,7 @@
         #[serde(rename = "Feedback")]
         load: Option<LoadValues>,
     },
-    /// A datagram of another instance.
+    /// A datagram from another instance.
     NoteFrom {
         controller_id: u64,
         #[serde(rename = "Neighbour", default)]
@@ -167,7 +167,7 @@
     },
     /// Fail a request.
     Error { controller_id: u64, handle: &'a str },
-    /// Grant memory and a priority to a request's attempts.
+    /// Set the memory grant and the priority of a request's attempts.
     Resources {
         controller_id: u64,
         handle: &'a str,
@@ -176,7 +176,7 @@
         #[serde(rename = "Prio")]
         priority: u8,
     },
-    /// Wake the instance after a time.
+    /// Wake the instance after a delay.
     Schedule { controller_id: u64, after_us: u64, label: u64 },
     /// Check the health of an engine.
     HealthCheck {
@@ -190,20 +190,20 @@
         #[serde(rename = "On")]
         subscribed: bool,
     },
-    /// A line for the simulator's log.
+    /// Write a line to the simulator's log.
     SayLog {
         controller_id: u64,
         #[serde(rename = "Words")]
         text: &'a str,
     },
-    /// A datagram for another instance.
+    /// Send a datagram to another instance.
     BroadcastTo {
         controller_id: u64,
         #[serde(rename = "Dest")]
         receiver: u64,
         body: &'a str,
     },
-    /// The instance can't go on.
+    /// Report that the instance cannot continue.
     GiveIn {
         controller_id: u64,
         #[serde(rename = "Words")]
--- a/simulator-adapter/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire, byte for byte: a script with every kind of message, and the replies to it.
+//! Tests of the simulator's protocol: replies to a script with every kind of message are compared byte by byte.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -24,12 +24,12 @@
 }
 
 #[test]
-fn replies_are_the_same_byte_for_byte() {
+fn replies_match_the_recording() {
     assert_replies(&[], include_str!("replies.jsonl"));
 }
 
 #[test]
-fn replies_with_gossip_are_the_same_byte_for_byte() {
+fn replies_with_gossip_match_the_recording() {
     assert_replies(&["--peers"], include_str!("replies-with-peers.jsonl"));
 }
 
@@ -43,7 +43,7 @@
         r#"{"AtTimeUs":1,"inbox":[{"op":"Spawn","ControllerId":0,"BootInfo":{"RequestClasses":[]}}]}"#;
     let no_settings = r#"{"AtTimeUs":1,"inbox":[{"op":"Spawn","ControllerId":0,"BootInfo":{}}]}"#;
     for (line, message) in [
-        (unknown_sheet.as_str(), "line 1: event 2: names a sheet not sent"),
+        (unknown_sheet.as_str(), "line 1: event 2: refers to a sheet that was not sent"),
         (no_class, "line 1: event 1: settings: classes: there is none"),
         (no_settings, "line 1: event 1: BootInfo: missing field `RequestClasses`"),
         ("no batch", "line 1: expected"),
