--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -119,8 +119,8 @@
 }
 
 /// The 64-bit FNV-1a hash of an idempotency key, which is stored instead of the text.
-pub fn key_id(key: &[u8]) -> KeyId {
-    KeyId(
+pub fn key_id(key: &[u8]) -> OrderingKeyId {
+    OrderingKeyId(
         key.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
             (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
         }),
@@ -203,7 +203,7 @@
     rules.slow_start_from = object.slow_start_from.map_or(rules.slow_start_from, non_negative);
     rules.overload_multiple = object.overload_multiple.map_or(rules.overload_multiple, non_negative);
     rules.retry_budget = object.retry_window_us.map(|window| RetryBudget {
-        free: object.free_retries.map_or(0.0, non_negative),
+        free_retries: object.free_retries.map_or(0.0, non_negative),
         ratio: object.retry_ratio.map_or(0.0, non_negative),
         window: duration_from_us(window),
     });
@@ -240,9 +240,9 @@
 /// The idempotency of the class's requests; requests of an unknown or missing one must not run twice.
 fn idempotency(object: &ClassObject) -> Idempotency {
     let scope = match object.deduplication_scope.as_str() {
-        "zone" => KeyScope::Zone,
-        "cell" => KeyScope::Cell,
-        _ => KeyScope::All,
+        "zone" => DeduplicationScope::Zone,
+        "cell" => DeduplicationScope::Cell,
+        _ => DeduplicationScope::All,
     };
     match object.idempotency.as_str() {
         "repeatable" => Idempotency::Idempotent,
--- a/simulator-adapter/src/convert.rs
+++ b/simulator-adapter/src/convert.rs
@@ -41,7 +41,7 @@
 /// Converts an engine's progress report on an attempt; `None` if its kind is unknown.
 pub fn progress(kind: u32, value: f64) -> Option<ProgressReport> {
     match (kind, value) {
-        (1, _) => Some(ProgressReport::Done(value)),
+        (1, _) => Some(ProgressReport::FractionDone(value)),
         (2, _) => Some(ProgressReport::Spilling(value)),
         (3, 2.0) => Some(ProgressReport::WaitingForLoad),
         (3, _) => Some(ProgressReport::WaitingForMemory),
