--- a/operations/src/override_codec.rs
+++ b/operations/src/override_codec.rs
@@ -1,5 +1,5 @@
-//! Text format of the stored record of operators' overrides. The first line holds the version, the last a line count and a
-//! CRC-32 checksum. A record that is truncated, corrupted or of another version is rejected as a whole.
+//! Text format of the stored record of operators' overrides. The first line holds the version, the last the number of
+//! overrides and a CRC-32 checksum. A record that is truncated, corrupted or of another version is rejected as a whole.
 
 use crate::overrides::{Override, Overrides, TimedOverride};
 use std::fmt::{self, Write};
@@ -26,7 +26,7 @@
     Incomplete,
     /// The format version is not supported.
     UnknownVersion,
-    /// The checksum or the line count does not match, or a line cannot be parsed.
+    /// The checksum or the number of overrides does not match, or a line cannot be parsed.
     Corrupted,
 }
 
@@ -36,9 +36,7 @@
             Self::TooLarge => "larger than the maximum size of a record",
             Self::Incomplete => "incomplete: the header or the last line is missing",
             Self::UnknownVersion => "unsupported format version",
-            Self::Corrupted => {
-                "corrupted: the checksum or the line count does not match, or a line is malformed"
-            }
+            Self::Corrupted => "corrupted: the checksum or the count does not match, or a line is malformed",
         })
     }
 }
@@ -83,13 +81,13 @@
         return Err(OverrideRecordError::Corrupted);
     }
     let mut overrides = Overrides::default();
-    let mut line_count = 0;
+    let mut count_read = 0;
     for line in lines.lines().skip(1) {
         let (engine, timed) = parse_line(line).ok_or(OverrideRecordError::Corrupted)?;
         overrides.insert(engine, timed);
-        line_count += 1;
+        count_read += 1;
     }
-    if count.parse() == Ok(line_count) { Ok(overrides) } else { Err(OverrideRecordError::Corrupted) }
+    if count.parse() == Ok(count_read) { Ok(overrides) } else { Err(OverrideRecordError::Corrupted) }
 }
 
 /// Checks the header and the version in the first line.
