--- a/gateway/src/drain_guard.rs
+++ b/gateway/src/drain_guard.rs
@@ -2,7 +2,7 @@
 //! guard when the engine drains. Connections check the guard immediately before they write, so that attempts which were
 //! queued meanwhile are not sent.
 
-use reedwalk_multicore::{DrainFence, DrainFences, EngineStanding};
+use reedwalk_multicore::{DrainFence, DrainFences, DrainState};
 use reedwalk_scheduler::{EngineEntry, EngineId, EngineState};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -50,13 +50,13 @@
     /// Applies an engine's entry and returns the guard for all attempts sent to it from now on. An engine that
     /// operators have taken `offline` gets no grace period.
     pub fn update(&mut self, entry: &EngineEntry, offline: bool, now: Instant) -> DrainGuard {
-        let standing = match entry.state {
-            EngineState::InService => EngineStanding::InService,
-            EngineState::Draining if offline => EngineStanding::Out,
-            EngineState::Draining => EngineStanding::Draining,
-            EngineState::Removed => EngineStanding::Removed,
+        let state = match entry.state {
+            EngineState::InService => DrainState::InService,
+            EngineState::Draining if offline => DrainState::Out,
+            EngineState::Draining => DrainState::Draining,
+            EngineState::Removed => DrainState::Removed,
         };
-        let fence = self.fences.update(&entry.engine, standing, micros_since(self.epoch, now));
+        let fence = self.fences.update(&entry.engine, state, micros_since(self.epoch, now));
         DrainGuard { fence, epoch: self.epoch }
     }
 }
--- a/gateway/src/multicore.rs
+++ b/gateway/src/multicore.rs
@@ -2,7 +2,7 @@
 //! `reedwalk-multicore` decides on which core a connection is placed. With one core, everything runs on the caller's
 //! runtime.
 
-use reedwalk_multicore::{Change, ConnectionLoad, LoadTable, StallDetector, shares};
+use reedwalk_multicore::{ConnectionGuard, CoreEvent, LoadTable, StallDetector, connection_shares};
 use slog::{Logger, error, info, warn};
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -60,7 +60,7 @@
 /// A connection's place on a core. The connection counts towards the core's load until the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct ConnectionSlot {
-    load: Option<Arc<ConnectionLoad>>,
+    load: Option<Arc<ConnectionGuard>>,
     handle: Option<Handle>,
 }
 
@@ -74,7 +74,7 @@
     pub fn single() -> Self {
         Self(Arc::new(Inner {
             cores: Vec::new(),
-            load_table: LoadTable::new(shares(1)),
+            load_table: LoadTable::new(connection_shares(1)),
             epoch: Instant::now(),
         }))
     }
@@ -89,7 +89,7 @@
         }
         let epoch = Instant::now();
         let cores = (0..count).map(|number| start_core(number, epoch)).collect::<Result<_, _>>()?;
-        Ok(Self(Arc::new(Inner { cores, load_table: LoadTable::new(shares(count)), epoch })))
+        Ok(Self(Arc::new(Inner { cores, load_table: LoadTable::new(connection_shares(count)), epoch })))
     }
 
     /// Whether there are several cores.
@@ -175,8 +175,8 @@
                 let Heartbeat { last_us, ended } = &*core.heartbeat;
                 (last_us.load(Ordering::Relaxed), ended.load(Ordering::Acquire))
             };
-            for change in stall_detector.check(now, inner.cores.iter().map(heartbeat)) {
-                if let Some(core) = self.apply_change(change, &log)
+            for event in stall_detector.check(now, inner.cores.iter().map(heartbeat)) {
+                if let Some(core) = self.on_core_event(event, &log)
                     && ended_cores.send(core).await.is_err()
                 {
                     return;
@@ -186,19 +186,19 @@
     }
 
     /// Logs and applies a change of a core's state. Returns the number of the core if it has ended.
-    fn apply_change(&self, change: Change, log: &Logger) -> Option<usize> {
-        match change {
-            Change::Stalled(core, stalled_us) => {
+    fn on_core_event(&self, event: CoreEvent, log: &Logger) -> Option<usize> {
+        match event {
+            CoreEvent::Stalled(core, stalled_us) => {
                 warn!(log, "worker thread stalled"; "core" => core, "stalled_ms" => stalled_us / 1000);
                 self.0.load_table.set_accepting(core, false);
                 None
             }
-            Change::Recovered(core, stalled_us) => {
+            CoreEvent::Recovered(core, stalled_us) => {
                 info!(log, "worker thread resumed"; "core" => core, "stalled_ms" => stalled_us / 1000);
                 self.0.load_table.set_accepting(core, true);
                 None
             }
-            Change::Ended(core) => {
+            CoreEvent::Ended(core) => {
                 error!(log, "worker thread ended"; "core" => core);
                 self.0.load_table.set_accepting(core, false);
                 Some(core)
--- a/gateway/src/persistence/restore.rs
+++ b/gateway/src/persistence/restore.rs
@@ -22,7 +22,7 @@
 fn hash_strings(strings: impl IntoIterator<Item = impl AsRef<[u8]>>) -> u64 {
     // A zero byte ends each string, so that different lists do not concatenate to the same bytes.
     let bytes: Vec<_> = strings.into_iter().flat_map(|string| [string.as_ref(), &[0]].concat()).collect();
-    reedwalk_settings::key(&bytes).0
+    reedwalk_settings::key_id(&bytes).0
 }
 
 /// The owner of this gateway's snapshots. The strings that are hashed here are part of the stored format.
--- a/gateway/src/serve/running.rs
+++ b/gateway/src/serve/running.rs
@@ -77,13 +77,13 @@
         self.stage.send_replace(ProcessStage::Closing);
         self.gossip_closing.send_replace(true);
         let mut share = self.capacity_share.clone();
-        let relieved = async {
-            if share.wait_for(|share| share.relieved).await.is_err() {
+        let other_process_serves = async {
+            if share.wait_for(|share| share.other_process_serves).await.is_err() {
                 // The sender is dropped without a console: no other process can take over, so wait for the timeout.
                 std::future::pending::<()>().await;
             }
         };
-        let _ = timeout_at(terminated_at + SHUTDOWN_OVERLAP, relieved).await;
+        let _ = timeout_at(terminated_at + SHUTDOWN_OVERLAP, other_process_serves).await;
     }
 
     /// Closes the fronts to new clients and waits until every accepted request is answered. SIGTERM was received at
