--- a/gossip/src/codec.rs
+++ b/gossip/src/codec.rs
@@ -162,7 +162,7 @@
 
 impl fmt::Display for KeyTooShort {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a signing key needs at least {MIN_KEY_BYTES} bytes, but this one has {}", self.bytes)
+        write!(f, "a signing key needs at least {MIN_KEY_BYTES} bytes, this one has {}", self.bytes)
     }
 }
 
