--- a/gateway/tests/discovery.rs
+++ b/gateway/tests/discovery.rs
@@ -1,4 +1,5 @@
-//! The engine list: known events, then DNS answers; no malformed answer may empty it, and a silent socket is replaced.
+//! The engine list, filled from configured events and then from DNS answers: a malformed answer never empties it, and
+//! an unresponsive socket is replaced.
 
 mod support;
 
@@ -19,9 +20,9 @@
 use support::{discard_log, endpoint_list, listed, settings, until};
 use tokio::time::{Instant, timeout_at};
 
-/// An engine in service at `10.1.0.{last}:8080`.
-fn engine(id: &'static str, last: u8) -> ListedEngine {
-    listed(id, ([10, 1, 0, last], 8080).into())
+/// An engine in service at `10.1.0.{last_octet}:8080`.
+fn engine(id: &'static str, last_octet: u8) -> ListedEngine {
+    listed(id, ([10, 1, 0, last_octet], 8080).into())
 }
 
 fn empty_list() -> EndpointList {
@@ -29,7 +30,7 @@
     EndpointList::new(Arc::new(sockets))
 }
 
-/// Applies an answer with this serial and these engines; the changes to the list.
+/// Applies an answer with this serial and these engines, and returns the changes to the list.
 fn apply(list: &mut EndpointList, serial: u32, engines: &[ListedEngine]) -> Vec<Endpoint> {
     list.apply_answer(parse_answer(&answer(7, serial, engines).to_vec().unwrap(), &[7]).unwrap())
 }
@@ -44,9 +45,9 @@
     assert!(
         changes.iter().all(|c| (c.entry.engine == first[0].entry.engine) == (c.address == first[0].address))
     );
-    assert!(apply(&mut list, 2, &[]).is_empty(), "no later serial, no changes");
+    assert!(apply(&mut list, 2, &[]).is_empty(), "an answer with the same serial changes nothing");
     assert!(apply(&mut list, 1, &[]).is_empty());
-    // A reused address belongs to a new engine.
+    // An engine with a new name is a new engine, even at a known address.
     let changes = apply(&mut list, 3, &[engine("s-0", 1), engine("s-9", 2)]);
     let states: Vec<_> = changes.iter().map(|c| (c.entry.state, c.address.ip().to_string())).collect();
     assert_eq!(
@@ -54,7 +55,7 @@
         [(EngineState::InService, "10.1.0.2".into()), (EngineState::Removed, "10.1.0.2".into())]
     );
     assert_ne!(changes[0].entry.engine, changes[1].entry.engine);
-    // A drain and a new start are changes; an unchanged engine is none.
+    // A drain and a new start time are a change; an engine that stays the same is not.
     let changes = apply(
         &mut list,
         4,
@@ -77,10 +78,10 @@
     let mut list = empty_list();
     list.apply_events(&support::initial_endpoints(&["10.1.0.1:8080".parse().unwrap()])).unwrap();
     apply(&mut list, 2, &[engine("s-0", 1), engine("s-9", 2)]);
-    let mut known = support::initial_endpoints(&["10.1.0.1:8080".parse().unwrap()]);
-    assert!(list.apply_newer_events(&known).unwrap().is_empty());
-    known["seq"] = 3.into();
-    let changes = list.apply_newer_events(&known).unwrap();
+    let mut configured = support::initial_endpoints(&["10.1.0.1:8080".parse().unwrap()]);
+    assert!(list.apply_newer_events(&configured).unwrap().is_empty());
+    configured["seq"] = 3.into();
+    let changes = list.apply_newer_events(&configured).unwrap();
     assert_eq!(changes.iter().map(|c| c.entry.state).collect::<Vec<_>>(), [EngineState::Removed]);
     assert_eq!(list.serial(), Some(3));
 }
@@ -110,20 +111,23 @@
         1,
         "s-1 is removed"
     );
-    assert!(apply(&mut list, 2, &[engine("s-0", 1), engine("s-1", 2)]).is_empty(), "s-1 was listed again");
+    assert!(
+        apply(&mut list, 2, &[engine("s-0", 1), engine("s-1", 2)]).is_empty(),
+        "an older answer added s-1 again"
+    );
     assert_eq!(apply(&mut list, 3, &[engine("s-0", 1), engine("s-2", 3)]).len(), 1);
 }
 
 #[test]
-fn ids_of_removed_engines_are_evicted() {
+fn names_of_removed_engines_are_evicted() {
     let mut list = empty_list();
-    let ids: Vec<&'static str> = (0..400).map(|n| &*format!("s-{n}").leak()).collect();
-    let mut numbers = std::collections::HashSet::new();
-    for (serial, id) in (1..).zip(&ids) {
-        let changes = apply(&mut list, serial, &[engine("s-stays", 1), engine(id, 2)]);
-        numbers.extend(changes.iter().map(|c| c.entry.engine));
+    let names: Vec<&'static str> = (0..400).map(|n| &*format!("s-{n}").leak()).collect();
+    let mut ids = std::collections::HashSet::new();
+    for (serial, name) in (1..).zip(&names) {
+        let changes = apply(&mut list, serial, &[engine("s-stays", 1), engine(name, 2)]);
+        ids.extend(changes.iter().map(|c| c.entry.engine));
     }
-    assert_eq!(numbers.len(), 401, "two engines had one number");
+    assert_eq!(ids.len(), 401, "two engines had the same id");
     assert!(list.known_names() < 100, "{}", list.known_names());
 }
 
@@ -140,7 +144,7 @@
     let mut message = valid();
     message.metadata.id = 8;
     assert_eq!(error(message), AnswerError::QueryMismatch);
-    // An id between those of two queries is foreign too.
+    // An id that lies between those of two queries belongs to neither.
     let between = parse_answer(&valid().to_vec().unwrap(), &[8, 6]);
     assert_eq!(between, Err(AnswerError::QueryMismatch));
     assert!(parse_answer(&valid().to_vec().unwrap(), &[9, 7]).is_ok());
@@ -148,15 +152,15 @@
     message.authorities.clear();
     assert_eq!(error(message), AnswerError::MissingSerial);
     let complete = valid().to_vec().unwrap();
-    // Every truncation is an error: no truncated answer empties the list.
+    // Every truncated answer is an error, so that none empties the list.
     for size in 0..complete.len() {
         assert!(parse_answer(&complete[..size], &[7]).is_err(), "{size} of {} bytes", complete.len());
     }
     assert_eq!(parse_answer(&encode_query(7, true).unwrap(), &[7]), Err(AnswerError::QueryMismatch));
 }
 
-/// A list that is updated from this source.
-fn watched(source: DiscoverySource) -> (tokio::sync::watch::Sender<DiscoverySource>, EndpointMailbox) {
+/// Starts to poll this source and returns the means to replace it, and the changes to the list.
+fn start_polling(source: DiscoverySource) -> (tokio::sync::watch::Sender<DiscoverySource>, EndpointMailbox) {
     let log = discard_log();
     let (source, sources) = tokio::sync::watch::channel(source);
     let (endpoints, metrics) = (EndpointMailbox::default(), Arc::new(Metrics::default()));
@@ -171,8 +175,8 @@
 async fn next_changes(endpoints: &EndpointMailbox) -> Vec<Endpoint> {
     let deadline = Instant::now() + Duration::from_secs(10);
     loop {
-        timeout_at(deadline, endpoints.changed()).await.expect("no change");
-        // Changes that were read already may have been announced a second time.
+        timeout_at(deadline, endpoints.changed()).await.expect("the list did not change");
+        // A notification may be for changes that were taken already.
         let changes = endpoints.take();
         if !changes.is_empty() {
             return changes.into_iter().map(|update| update.endpoint).collect();
@@ -184,7 +188,7 @@
 async fn answer_after_the_next_query_is_accepted() {
     // The poll interval is 250 ms, and each answer is 600 ms late.
     let server = start_delayed_server(vec![engine("s-0", 1)], Duration::from_millis(600)).await;
-    let (_source, endpoints) = watched(DiscoverySource { server: Some(server), events: None });
+    let (_source, endpoints) = start_polling(DiscoverySource { server: Some(server), events: None });
     assert_eq!(next_changes(&endpoints).await.len(), 1);
 }
 
@@ -192,10 +196,10 @@
 async fn unresponsive_discovery_socket_is_replaced() {
     let list = endpoint_list(1, vec![engine("s-0", 1)]);
     let (server, unanswered) = start_unresponsive_server(list.clone(), 1).await;
-    let (_source, endpoints) = watched(DiscoverySource { server: Some(server), events: None });
+    let (_source, endpoints) = start_polling(DiscoverySource { server: Some(server), events: None });
     assert_eq!(next_changes(&endpoints).await.len(), 1);
     *list.lock().unwrap() = (2, vec![engine("s-0", 1), engine("s-1", 2)]);
-    assert_eq!(next_changes(&endpoints).await.len(), 1, "the second engine");
+    assert_eq!(next_changes(&endpoints).await.len(), 1, "the second engine is added");
     assert!(*unanswered.lock().unwrap() > 0, "the socket never became unresponsive");
 }
 
@@ -204,11 +208,11 @@
     let list = endpoint_list(1, vec![engine("s-0", 1)]);
     let (old, _) = start_server(list.clone()).await;
     let (new, unanswered) = start_unresponsive_server(list.clone(), 0).await;
-    let (source, endpoints) = watched(DiscoverySource { server: Some(old), events: None });
+    let (source, endpoints) = start_polling(DiscoverySource { server: Some(old), events: None });
     assert_eq!(next_changes(&endpoints).await.len(), 1);
     source.send(DiscoverySource { server: Some(new), events: None }).unwrap();
     until("the new server is polled", || *unanswered.lock().unwrap() > 0).await;
     // The old server is polled no more, and none of its answers applies.
     *list.lock().unwrap() = (2, vec![engine("s-0", 1), engine("s-1", 2)]);
-    assert_eq!(next_changes(&endpoints).await.len(), 1, "the second engine");
+    assert_eq!(next_changes(&endpoints).await.len(), 1, "the second engine is added");
 }
