--- a/gateway/tests/flight_front.rs
+++ b/gateway/tests/flight_front.rs
@@ -1,4 +1,4 @@
-//! Flight SQL clients and engines: tickets, statuses, retries, deadlines, and the same outcomes as over MySQL.
+//! Flight SQL clients and engines: tickets, status codes, retries and deadlines, with the same outcomes as over MySQL.
 
 mod support;
 
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn stream_cut_halfway_is_retried_elsewhere() {
+async fn broken_result_stream_is_retried_on_another_engine() {
     let test_bed = TestBed::default();
     let (_gateway, client) = with_engines(&test_bed).await;
     assert_eq!(client.with_class("statement", None).query("CUT 1").await.unwrap(), mysql::expected_rows());
@@ -77,9 +77,9 @@
     assert_eq!(client.with_class("batch-post", Some("key-1")).update("LOSE 1").await.unwrap(), 41);
     assert!(started.elapsed() < Duration::from_secs(12));
     assert_eq!(test_bed.attempts("LOSE 1"), 2);
-    let script = test_bed.0.lock().unwrap();
-    assert_eq!(script.effects, ["LOSE 1"]);
-    assert_eq!(script.keys, ["key-1".to_owned()].into());
+    let state = test_bed.0.lock().unwrap();
+    assert_eq!(state.effects, ["LOSE 1"]);
+    assert_eq!(state.keys, ["key-1".to_owned()].into());
 }
 
 #[tokio::test]
@@ -137,9 +137,9 @@
 async fn engine_in_slow_start_is_not_overloaded() {
     let test_bed = TestBed::default();
     let mut config = config(&flight_engines(&test_bed).await);
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
-    let known = config.initial_endpoints.as_mut().unwrap();
-    known["results"][0]["fleet"]["servers"][0]["started_ms"] = unix.into();
+    let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
+    let endpoints = config.initial_endpoints.as_mut().unwrap();
+    endpoints["results"][0]["fleet"]["servers"][0]["started_ms"] = now_ms.into();
     let gateway = gateway(config, both_protocols(EngineProtocol::FlightSql)).await;
     let client = Client::connect(gateway.flight.unwrap())
         .await
@@ -149,15 +149,16 @@
     for n in 0..60 {
         client.query(&format!("SELECT {n}")).await.unwrap();
     }
-    // The budget of a second is 2.5 times a third of eight cores. An even share would be thirty requests.
+    // In a second an engine in slow start may get 2.5 times the work of a third of its eight cores. An even share of
+    // the 60 requests would be 30.
     let allowed = 2.5 * 0.33 * 8.0 * (1.0 + started.elapsed().as_secs_f64()) / 0.6;
     let sent = test_bed.attempts_at("a") as f64;
     assert!(sent <= allowed && sent < 20.0, "{sent} of 60 were sent to the engine, {allowed} are allowed");
     assert!(test_bed.attempts_at("b") >= 40);
 }
 
-/// The same requests over both protocols: class, key, statement, and whether it is an update.
-const SCENARIO: [(&str, Option<&str>, &str, bool); 12] = [
+/// The requests that are sent over both protocols: class, key, statement, and whether it is an update.
+const REQUESTS: [(&str, Option<&str>, &str, bool); 12] = [
     ("lookup", None, "SELECT 1", false),
     ("lookup", None, "SELECT 2", false),
     ("statement", None, "CUT 1", false),
@@ -177,9 +178,9 @@
     if statement.starts_with("HANG") { 500 } else { 2900 }
 }
 
-fn count(ends: Vec<Outcome>) -> BTreeMap<Outcome, usize> {
-    ends.into_iter().fold(BTreeMap::new(), |mut counts, end| {
-        *counts.entry(end).or_default() += 1;
+fn count_outcomes(outcomes: Vec<Outcome>) -> BTreeMap<Outcome, usize> {
+    outcomes.into_iter().fold(BTreeMap::new(), |mut counts, outcome| {
+        *counts.entry(outcome).or_default() += 1;
         counts
     })
 }
@@ -189,33 +190,33 @@
     let over_mysql = async {
         let test_bed = TestBed::default();
         let gateway = gateway(config(&resp_engines(&test_bed).await), OperatorConfig::default()).await;
-        let mut ends = Vec::new();
-        for (class, key, statement, _) in SCENARIO {
+        let mut outcomes = Vec::new();
+        for (class, key, statement, _) in REQUESTS {
             let mut client = mysql::Client::connect(gateway.mysql).await;
-            ends.push(client.outcome(&fields(class, timeout_ms(statement), key, statement)).await);
+            outcomes.push(client.outcome(&fields(class, timeout_ms(statement), key, statement)).await);
         }
-        (ends, test_bed)
+        (outcomes, test_bed)
     };
     let over_flight = async {
         let test_bed = TestBed::default();
         let (_gateway, client) = with_engines(&test_bed).await;
-        let mut ends = Vec::new();
-        for (class, key, statement, update) in SCENARIO {
+        let mut outcomes = Vec::new();
+        for (class, key, statement, update) in REQUESTS {
             let timeout = format!("{}m", timeout_ms(statement));
             let client = client.with_class(class, key).with_header("grpc-timeout", &timeout);
-            ends.push(if update {
+            outcomes.push(if update {
                 outcome(client.update(statement).await)
             } else {
                 outcome(client.query(statement).await)
             });
         }
-        (ends, test_bed)
+        (outcomes, test_bed)
     };
     let ((mysql, mysql_engines), (flight, flight_engines)) = tokio::join!(over_mysql, over_flight);
     assert_eq!(mysql, flight);
-    let counts = count(mysql);
-    assert_eq!(counts, count(flight));
-    // The scenario has every kind of outcome.
+    let counts = count_outcomes(mysql);
+    assert_eq!(counts, count_outcomes(flight));
+    // The requests have every kind of outcome.
     let kinds = [
         Outcome::Served,
         Outcome::Rejected("BUSY", true),
@@ -228,8 +229,8 @@
 }
 
 #[tokio::test]
-async fn refused_connection_is_retried_elsewhere() {
-    // A class that must not run twice is retried only where the first attempt surely never ran.
+async fn refused_connection_is_retried_on_another_engine() {
+    // A class that must not run twice is retried only if the first attempt certainly never ran.
     let test_bed = TestBed::default();
     let engines = [unused_address().await, start_engine("b", test_bed.clone()).await];
     let gateway = gateway(config(&engines), both_protocols(EngineProtocol::FlightSql)).await;
@@ -237,7 +238,7 @@
     for n in 0..4 {
         assert_eq!(outcome(client.query(&format!("SELECT {n}")).await), Outcome::Served);
     }
-    // A statement whose stream is cut may have run: it is not retried, and the caller gets an error.
+    // A statement whose result stream is cut may have run: it is not retried, and the caller gets an error.
     assert_eq!(outcome(client.query("CUT 1").await), Outcome::Failed("ENGINE"));
     assert_eq!(test_bed.attempts("CUT 1"), 1);
 }
--- a/gateway/tests/golden.rs
+++ b/gateway/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Stored data of earlier versions: the keys and values in the shared store, the process files of a hot restart, and
-//! the owner ids by which a gateway recognises its own snapshot.
+//! Compatibility with data that earlier versions stored: the keys and values in the shared store, the process files of
+//! a hot restart, and the owner ids by which a gateway recognizes its own snapshot.
 
 mod support;
 
@@ -17,20 +17,19 @@
 use support::{config, discard_log, folder, until};
 use tokio::time::Instant;
 
-/// The incarnation of the gateway.
-const INCARNATION: u64 = 0xabc;
+const GATEWAY_INCARNATION: u64 = 0xabc;
 /// How long engines drop repeats of a key.
-const WINDOW: Duration = Duration::from_secs(12);
-/// The stored record of a sent request, in hexadecimal digits.
-const SENT: &str = "01d50e77fc07ce9eded8ad33";
-/// The stored answer, in hexadecimal digits.
-const DONE: &str = "01df2f6eba11616e20616e737765722c207061636b6564";
+const DEDUPLICATION_WINDOW: Duration = Duration::from_secs(12);
+/// The stored record of a sent request, in hexadecimal.
+const SENT_RECORD_HEX: &str = "01d50e77fc07ce9eded8ad33";
+/// The stored answer, in hexadecimal.
+const ANSWER_HEX: &str = "01df2f6eba11616e20616e737765722c207061636b6564";
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The keys in the store with their values: text as it is, the fields of a hash, `v` in hexadecimal digits.
+/// The keys in the store with their values: a text unchanged, a hash as its fields, and the field `v` in hexadecimal.
 fn contents(redis: &Redis) -> BTreeMap<String, String> {
     let text = |bytes: &[u8]| String::from_utf8(bytes.to_owned()).unwrap();
     let field = |(name, value): (&Vec<u8>, &Vec<u8>)| {
@@ -54,27 +53,33 @@
     let redis = Redis::default();
     let url = format!("redis://{}", redis.start().await);
     let client = Arc::new(
-        SharedStoreClient::new(&url, SharedStoreOptions::default(), INCARNATION, WINDOW, discard_log())
-            .unwrap(),
+        SharedStoreClient::new(
+            &url,
+            SharedStoreOptions::default(),
+            GATEWAY_INCARNATION,
+            DEDUPLICATION_WINDOW,
+            discard_log(),
+        )
+        .unwrap(),
     );
     let deadline = || Instant::now() + Duration::from_secs(5);
     let (key, holder) = (client.request_key("batch-post", b"k1"), client.next_holder());
-    client.claim(&key, holder, false, WINDOW, deadline()).await.expect("claimed");
+    client.claim(&key, holder, false, DEDUPLICATION_WINDOW, deadline()).await.expect("claimed");
     let (entry, lease) = ("reedwalk:1:key:batch-post:k1", "reedwalk:1:key:batch-post:k1:lease");
     let holder_name = "0000000000000abc-1";
     let claimed = format!("h={holder_name} s=c");
     assert_eq!(contents(&redis), pairs([(entry, &claimed), (lease, holder_name)]));
 
     let sent = SendRecord { group: 7, at_ms: 1_764_612_345_678 };
-    assert_eq!(client.record_sent(&key, holder, sent, WINDOW, deadline()).await, Some(true));
-    let sent = format!("h={holder_name} s=s v={SENT}");
+    assert_eq!(client.record_sent(&key, holder, sent, DEDUPLICATION_WINDOW, deadline()).await, Some(true));
+    let sent = format!("h={holder_name} s=s v={SENT_RECORD_HEX}");
     assert_eq!(contents(&redis), pairs([(entry, &sent), (lease, holder_name)]));
 
     let budget = client.quota_key("acquiring", 60_000, 29_410_205);
     assert_eq!(client.lease_quota(&budget, 25, 600, u64::MAX >> 12, deadline()).await, Some(25));
-    client.end_claim(key, holder, WINDOW, ClaimEnd::Done(b"an answer, packed".to_vec()));
+    client.end_claim(key, holder, DEDUPLICATION_WINDOW, ClaimEnd::Done(b"an answer, packed".to_vec()));
     let writer = tokio::spawn(client.run());
-    let done = format!("h= s=d v={DONE}");
+    let done = format!("h= s=d v={ANSWER_HEX}");
     until("the answer is stored", || contents(&redis).get(entry) == Some(&done)).await;
     writer.abort();
     let mut stored = contents(&redis);
@@ -86,12 +91,12 @@
 #[test]
 fn process_file_format_is_unchanged() {
     let folder = folder();
-    let mut own = HotRestart::register(&folder, "n0-3306", discard_log());
+    let mut process = HotRestart::register(&folder, "n0-3306", discard_log());
     let read = || std::fs::read_to_string(folder.join("n0-3306.process-0")).unwrap();
     assert_eq!(read(), "starting");
-    own.set_stage(ProcessStage::Serving);
+    process.set_stage(ProcessStage::Serving);
     assert_eq!(read(), "serving ");
-    own.set_stage(ProcessStage::Closing);
+    process.set_stage(ProcessStage::Closing);
     assert_eq!(read(), "closing ");
 }
 
@@ -103,11 +108,11 @@
         let folder = folder();
         let path = folder.join("n0-3306.process-0");
         std::fs::write(&path, word).unwrap();
-        let other = File::open(&path).unwrap();
-        other.lock().unwrap();
-        let own = HotRestart::register(&folder, "n0-3306", discard_log());
-        let own = *own.share().borrow();
-        assert_eq!((own.share, own.relieved), (share, relieved), "{word}");
+        let other_process = File::open(&path).unwrap();
+        other_process.lock().unwrap();
+        let process = HotRestart::register(&folder, "n0-3306", discard_log());
+        let capacity = *process.share().borrow();
+        assert_eq!((capacity.share, capacity.relieved), (share, relieved), "{word}");
     }
 }
 
