--- a/gateway/tests/log_records.rs
+++ b/gateway/tests/log_records.rs
@@ -1,11 +1,11 @@
-//! The log records of the gateway's source: each has a constant message and keys in `snake_case`, and those at info and
-//! above are listed in the table of `docs/operations/on-call.md`, which lists nothing else.
+//! The log records in the gateway's source: each has a constant message and keys in `snake_case`, and the table in
+//! `docs/operations/on-call.md` lists exactly those at info and above.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// The macros that write a record, each with the level as the table names it.
-const MACROS: [(&str, &str); 6] = [
+/// The logging macros, each with the name of its level in the table.
+const LOG_MACROS: [(&str, &str); 6] = [
     ("crit", "critical"),
     ("error", "error"),
     ("warn", "warning"),
@@ -15,20 +15,20 @@
 ];
 /// Levels that the table does not list.
 const UNLISTED_LEVELS: [&str; 2] = ["debug", "trace"];
-/// The heading above the table of the page.
+/// The heading above the table on the page.
 const TABLE_HEADING: &str = "## Log records";
 
-/// A log record, as the source writes it or the page lists it.
+/// A log record, as it is in the source or in the table of the page.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LogRecord {
     message: String,
     level: String,
     keys: Vec<String>,
-    /// Path of the source file below `gateway/src/`.
+    /// Path of the source file, relative to `gateway/src/`.
     module: String,
 }
 
-/// The end of a string literal that starts at `start`: the index behind its closing quote.
+/// The end of a string literal that starts at `start`: the index after its closing quote.
 fn end_of_string(text: &str, start: usize) -> usize {
     let bytes = text.as_bytes();
     let mut index = start + 1;
@@ -38,7 +38,7 @@
     index + 1
 }
 
-/// The source without comments; string literals stay as they are.
+/// The source without comments. String literals are kept.
 fn without_comments(source: &str) -> String {
     let mut text = String::new();
     let mut index = 0;
@@ -47,7 +47,7 @@
         if rest.starts_with("//") {
             index += rest.find('\n').unwrap_or(rest.len());
         } else if rest.starts_with("'\"'") || rest.starts_with("b'\"'") {
-            // A quote as a character begins no string.
+            // A character literal of a quote does not begin a string.
             index += rest.find("\"'").unwrap() + 2;
             text.push_str("'_'");
         } else if rest.starts_with('"') {
@@ -63,8 +63,8 @@
     text
 }
 
-/// The parts of a macro's arguments between separators that stand outside brackets and strings.
-fn split_outside(text: &str, separator: char) -> Vec<&str> {
+/// Splits the arguments of a macro at the separators outside brackets and strings.
+fn split_top_level(text: &str, separator: char) -> Vec<&str> {
     let (mut parts, mut start, mut depth, mut index) = (Vec::new(), 0, 0, 0);
     while index < text.len() {
         let next = text[index..].chars().next().unwrap();
@@ -88,8 +88,8 @@
     parts
 }
 
-/// The arguments of the macro whose opening bracket ends at `start`, without the brackets.
-fn arguments(text: &str, start: usize) -> &str {
+/// The arguments of the macro whose opening parenthesis ends at `start`, without the parentheses.
+fn macro_arguments(text: &str, start: usize) -> &str {
     let (mut depth, mut index) = (1, start);
     while depth > 0 {
         match text.as_bytes()[index] {
@@ -106,12 +106,12 @@
     &text[start..index - 1]
 }
 
-/// The content of a plain string literal; an error names what stands there instead.
+/// The content of a string literal without escapes and placeholders; the error contains the text that is none.
 fn string_literal(text: &str) -> Result<String, String> {
     let inner = text.strip_prefix('"').and_then(|rest| rest.strip_suffix('"'));
-    let inner = inner.ok_or_else(|| format!("no string literal: {text}"))?;
+    let inner = inner.ok_or_else(|| format!("not a string literal: {text}"))?;
     if inner.is_empty() || inner.contains(['"', '\\', '{', '}']) {
-        return Err(format!("no constant text: {text}"));
+        return Err(format!("not a constant text: {text}"));
     }
     Ok(inner.to_owned())
 }
@@ -123,24 +123,24 @@
     key.starts_with(|first: char| first.is_ascii_lowercase()) && key.split('_').all(is_word)
 }
 
-/// Reads `logger, "message"; "key" => value, ...`, the arguments of a macro.
-fn read_record(arguments: &str, level: &str, module: &str) -> Result<LogRecord, String> {
-    let parts = split_outside(arguments, ';');
+/// Parses the arguments of a logging macro: `logger, "message"; "key" => value, ...`.
+fn parse_record(arguments: &str, level: &str, module: &str) -> Result<LogRecord, String> {
+    let parts = split_top_level(arguments, ';');
     let (head, pairs) = match parts[..] {
         [head] => (head, ""),
         [head, pairs] => (head, pairs),
-        _ => return Err(format!("not of the expected form: {arguments}")),
+        _ => return Err(format!("more than one semicolon: {arguments}")),
     };
-    // Whatever follows the message would be put into it at run time.
-    let [_, message] = split_outside(head, ',')[..] else {
+    // Further arguments would be formatted into the message at run time.
+    let [_, message] = split_top_level(head, ',')[..] else {
         return Err(format!("not a logger and one message: {head}"));
     };
     let mut keys = Vec::new();
-    for pair in split_outside(pairs, ',') {
-        let (key, _) = pair.split_once("=>").ok_or_else(|| format!("no key: {pair}"))?;
+    for pair in split_top_level(pairs, ',') {
+        let (key, _) = pair.split_once("=>").ok_or_else(|| format!("no `=>` after a key: {pair}"))?;
         let key = string_literal(key.trim())?;
         if !is_snake_case(&key) {
-            return Err(format!("not in snake_case: {key}"));
+            return Err(format!("key is not in snake_case: {key}"));
         }
         keys.push(key);
     }
@@ -152,35 +152,42 @@
 fn records_of_source(source: &str, module: &str) -> Result<Vec<LogRecord>, String> {
     let text = without_comments(source);
     let mut records = Vec::new();
-    for (name, level) in MACROS {
+    for (name, level) in LOG_MACROS {
         let call = format!("{name}!(");
         for (index, _) in text.match_indices(&call) {
-            let before = text[..index].chars().next_back();
-            if before.is_some_and(|before| before.is_alphanumeric() || before == '_') {
+            let previous = text[..index].chars().next_back();
+            if previous.is_some_and(|previous| previous.is_alphanumeric() || previous == '_') {
                 continue;
             }
-            let arguments = arguments(&text, index + call.len());
-            let record = read_record(arguments, level, module);
+            let arguments = macro_arguments(&text, index + call.len());
+            let record = parse_record(arguments, level, module);
             records.push(record.map_err(|error| format!("{module}: {error}"))?);
         }
     }
     Ok(records)
 }
 
-/// The rows of the page's table: message, level, keys, module, meaning, action.
+/// The records in the table of the page; its columns are message, level, keys, module, meaning and action.
 fn records_of_page(page: &str) -> Vec<LogRecord> {
-    let (_, section) = page.split_once(TABLE_HEADING).expect("the page has the heading of the table");
+    let (_, section) = page.split_once(TABLE_HEADING).expect("the page lacks the heading of the table");
     let rows =
         section.lines().skip_while(|line| !line.starts_with('|')).take_while(|line| line.starts_with('|'));
     let record = |row: &str| {
         let cells: Vec<_> = row.trim_matches('|').split('|').map(str::trim).collect();
-        let [message, level, keys, module, meaning, action] = cells[..] else { panic!("six cells: {row}") };
-        assert!(!meaning.is_empty() && !action.is_empty(), "meaning and action: {row}");
-        let code = |cell: &str| cell.trim_matches('`').to_owned();
-        let keys = keys.split(", ").filter(|key| *key != "-").map(code).collect();
-        LogRecord { message: code(message), level: code(level), keys, module: code(module) }
+        let [message, level, keys, module, meaning, action] = cells[..] else {
+            panic!("not six cells: {row}")
+        };
+        assert!(!meaning.is_empty() && !action.is_empty(), "meaning or action is empty: {row}");
+        let without_backticks = |cell: &str| cell.trim_matches('`').to_owned();
+        let keys = keys.split(", ").filter(|key| *key != "-").map(without_backticks).collect();
+        LogRecord {
+            message: without_backticks(message),
+            level: without_backticks(level),
+            keys,
+            module: without_backticks(module),
+        }
     };
-    // The first two rows are the heading and the line below it.
+    // The first two rows are the column names and the separator.
     rows.skip(2).map(record).collect()
 }
 
@@ -197,7 +204,7 @@
     files
 }
 
-/// All records of `gateway/src/`, but for its test files.
+/// All records in `gateway/src/` except those in its test files.
 fn records_of_gateway() -> Vec<LogRecord> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut records = Vec::new();
@@ -217,7 +224,7 @@
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/operations/on-call.md");
     let rows = records_of_page(&std::fs::read_to_string(page).unwrap());
     let on_page: BTreeSet<_> = rows.iter().cloned().collect();
-    assert_eq!(on_page.len(), rows.len(), "a row stands twice");
+    assert_eq!(on_page.len(), rows.len(), "the table has duplicate rows");
     let missing: Vec<_> = in_source.difference(&on_page).collect();
     let stale: Vec<_> = on_page.difference(&in_source).collect();
     assert!(
@@ -235,7 +242,7 @@
 }
 
 #[test]
-fn record_is_read_with_its_level_and_keys() {
+fn record_is_parsed_with_its_level_and_keys() {
     let source = "// info!(log, \"a comment\")\nif c == '\"' { debug!(self.log, \"a; b\"; \"engine\" => e.f(1, 2),\n \
                   \"stalled_ms\" => ms / 1000,) }\nprintln!(\"\"); my_info!(log, \"other\"); warn!(log, \"no keys\");";
     let record = |message: &str, level: &str, keys: &[&str]| LogRecord {
