--- a/gateway/tests/gossip/main.rs
+++ b/gateway/tests/gossip/main.rs
@@ -1,5 +1,5 @@
-//! Gateways that gossip: clusters of real processes with faults between them. Each test prints the faults that were
-//! really applied.
+//! Gossip between gateways: clusters of real processes with injected faults. Each test prints the faults that were
+//! actually applied.
 
 #[path = "../support/cluster.rs"]
 mod cluster;
@@ -23,17 +23,17 @@
 
 /// How long gossip may take to make all members known.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long gossip may take to remove members that ended or can't be reached.
+/// How long gossip may take to remove members that have ended or are unreachable.
 const REMOVAL_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// These gateways have `live` live members on their lists.
+/// Whether each of these gateways lists `live` live members.
 fn see_live_members(cluster: &Cluster, mut gateways: impl Iterator<Item = usize>, live: u64) -> bool {
     gateways.all(|n| cluster.metrics(n)["peers_living"] == live)
 }
 
-/// All gateways have ejected engine 0 since this moment.
+/// Whether all gateways have ejected engine 0 since this moment.
 fn all_ejected(cluster: &Cluster, since: Instant) -> bool {
-    cluster.all_gateways().all(|f| f.first_logged(&EJECTED, since).is_some())
+    cluster.all_gateways().all(|g| g.first_logged(&EJECTED, since).is_some())
 }
 
 /// The smallest share of attempts that an engine got since this moment, as a fraction of an even share.
@@ -50,11 +50,11 @@
     cluster.attempts_since(0, since) as f64 * 10.0 / all as f64
 }
 
-/// The slow-start rule for an engine of the cluster that started then.
-fn slow_start(engine: usize, at: Instant) -> SlowStart {
+/// The slow-start rule for an engine of the cluster that started at this moment.
+fn slow_start(engine: usize, started_at: Instant) -> SlowStart {
     SlowStart {
         engine: engine_id(engine),
-        started_at: at,
+        started_at,
         cores: 8.0,
         initial_share: 0.33,
         ramp: 15 * SECOND,
@@ -71,13 +71,13 @@
         .sum()
 }
 
-/// Checks that no request had more than three attempts, more than one end, or a second answer.
+/// Checks that no request had more than three attempts, more than one outcome, or a second answer.
 fn check_request_rules(cluster: &Cluster, records: &[RequestRecord]) {
-    let mut traces: Vec<_> = records.iter().map(|a| a.trace.as_str()).collect();
+    let mut traces: Vec<_> = records.iter().map(|r| r.trace.as_str()).collect();
     let requests = traces.len();
     traces.sort_unstable();
     traces.dedup();
-    assert_eq!(traces.len(), requests, "one end for each request");
+    assert_eq!(traces.len(), requests, "a request has more than one outcome");
     assert_eq!(cluster.unsolicited_responses, 0, "second answers");
     assert!(
         cluster.request_log.max_attempts() <= 3,
--- a/gateway/tests/gossip/membership.rs
+++ b/gateway/tests/gossip/membership.rs
@@ -12,7 +12,7 @@
 use reedwalk_testkit::resp::EngineBehavior;
 use std::time::Instant;
 
-/// Cuts the cluster into two halves while an engine recovers, and heals it.
+/// Partitions the cluster into two halves while an engine recovers, then heals the partition.
 fn partition_while_an_engine_recovers(cluster: &mut Cluster) {
     cluster.gossip_network.partition((0..20).map(|n| n % 2).collect());
     cluster.set_engine_behavior(0, EngineBehavior::Healthy);
@@ -28,35 +28,35 @@
 #[test]
 fn partition_breaks_no_rule_and_old_reports_expire() {
     let _machine = exclusive_machine();
-    let started = Instant::now();
+    let started_at = Instant::now();
     let mut cluster = Cluster::start(ClusterConfig { slow_start: true, ..setup(20, 10, 31) });
     cluster.start_load(&Load::lookups(20, 16.0, 50.0, 31));
     cluster.wait_until("all members are known", JOIN_TIMEOUT, |c| see_live_members(c, 0..20, 20));
     cluster.set_engine_behavior(0, EngineBehavior::Failing);
-    cluster.wait_until("engine 0 is ejected by all", 5 * SECOND, |c| all_ejected(c, started));
+    cluster.wait_until("engine 0 is ejected by all", 5 * SECOND, |c| all_ejected(c, started_at));
     partition_while_an_engine_recovers(&mut cluster);
-    let healed = Instant::now();
+    let healed_at = Instant::now();
     cluster.run_for(3 * SECOND);
     let reports: usize =
-        cluster.all_gateways().map(|f| f.count_logged("engine ejected on gossip", healed)).sum();
-    let share = share_of_first_engine(&cluster, healed);
+        cluster.all_gateways().map(|g| g.count_logged("engine ejected on gossip", healed_at)).sum();
+    let share = share_of_first_engine(&cluster, healed_at);
     let records = cluster.end_load();
     let faults = cluster.applied_faults();
     println!("engine 0 has {share:.2} of an even share afterwards; {faults}");
     assert!(faults.blocked > 100);
-    assert_eq!(reports, 0, "reports of before the partition have expired");
+    assert_eq!(reports, 0, "a report from before the partition has not expired");
     assert!(share > 0.4, "{share}");
     check_request_rules(&cluster, &records);
     for engine in 0..10 {
-        let start = slow_start(engine, started);
+        let rule = slow_start(engine, started_at);
         assert_eq!(
-            cluster.request_log.slow_start_overruns(&start),
+            cluster.request_log.slow_start_overruns(&rule),
             0,
             "engine {engine}, peak {}",
-            cluster.request_log.slow_start_peak(&start)
+            cluster.request_log.slow_start_peak(&rule)
         );
     }
-    assert!(records.iter().all(|a| a.outcome != RequestOutcome::Lost));
+    assert!(records.iter().all(|r| r.outcome != RequestOutcome::Lost));
 }
 
 #[test]
@@ -65,9 +65,9 @@
     let mut cluster = Cluster::start(setup(20, 10, 41));
     cluster.start_load(&Load::lookups(20, 16.0, 50.0, 41));
     cluster.wait_until("all members are known", JOIN_TIMEOUT, |c| see_live_members(c, 0..20, 20));
-    let failed = Instant::now();
+    let failed_at = Instant::now();
     cluster.set_engine_behavior(0, EngineBehavior::Failing);
-    cluster.wait_until("engine 0 is ejected by all", 5 * SECOND, |c| all_ejected(c, failed));
+    cluster.wait_until("engine 0 is ejected by all", 5 * SECOND, |c| all_ejected(c, failed_at));
     let suspended: Vec<_> = (0..5).collect();
     cluster.pause(&suspended);
     cluster.set_engine_behavior(0, EngineBehavior::Healthy);
@@ -75,15 +75,15 @@
         see_live_members(c, 5..20, 15)
     });
     std::thread::sleep(3 * SECOND);
-    let resumed = Instant::now();
+    let resumed_at = Instant::now();
     cluster.resume(&suspended);
     let rejoined =
         cluster.wait_until("all members are known again", 5 * SECOND, |c| see_live_members(c, 0..20, 20));
-    std::thread::sleep((3 * SECOND).saturating_sub(resumed.elapsed()));
+    std::thread::sleep((3 * SECOND).saturating_sub(resumed_at.elapsed()));
     cluster.check_crashes();
     let reports: usize =
-        (5..20).map(|n| cluster.gateway(n).count_logged("engine ejected on gossip", resumed)).sum();
-    let share = min_share(&cluster, resumed);
+        (5..20).map(|n| cluster.gateway(n).count_logged("engine ejected on gossip", resumed_at)).sum();
+    let share = min_share(&cluster, resumed_at);
     let withheld: u64 = sum_of_metric(&cluster, "peers_kept_back");
     let records = cluster.end_load();
     println!(
@@ -91,7 +91,7 @@
         cluster.applied_faults()
     );
     assert_eq!((cluster.applied_faults().paused, cluster.applied_faults().resumed), (5, 5));
-    assert_eq!(reports, 0, "no gateway ejected an engine on a stale report");
+    assert_eq!(reports, 0, "a gateway ejected an engine on a stale report");
     assert!(share > 0.4, "{share}");
     check_request_rules(&cluster, &records);
 }
@@ -100,12 +100,12 @@
 fn no_stale_members_after_a_rolling_restart() {
     let _machine = exclusive_machine();
     let mut cluster = Cluster::start(setup(20, 10, 61));
-    // So late that datagrams of the old processes arrive after those of the new ones.
+    // A delay so long that datagrams of the old processes arrive after those of the new ones.
     cluster.gossip_network.set_default_fault(DatagramFault::delayed(SECOND / 5, SECOND / 2));
     cluster.start_load(&Load::lookups(20, 8.0, 50.0, 61));
     cluster.wait_until("all members are known", JOIN_TIMEOUT, |c| see_live_members(c, 0..20, 20));
-    for wave in 0..4 {
-        let gateways: Vec<_> = (0..20).filter(|n| n % 4 == wave).collect();
+    for batch in 0..4 {
+        let gateways: Vec<_> = (0..20).filter(|n| n % 4 == batch).collect();
         cluster.kill(&gateways);
         cluster.run_for(SECOND / 2);
         cluster.restart(&gateways);
@@ -114,7 +114,7 @@
     cluster.wait_until("all new members are known", JOIN_TIMEOUT, |c| see_live_members(c, 0..20, 20));
     let since = Instant::now();
     cluster.run_for(2 * SECOND);
-    // Gossip of the others does not keep an ended member on the list.
+    // Gossip of the other gateways must not keep an ended member on the list.
     cluster.kill(&[7]);
     let removed = cluster.wait_until("the ended member is removed", REMOVAL_TIMEOUT, |c| {
         see_live_members(c, (0..20).filter(|n| *n != 7), 19)
@@ -128,8 +128,8 @@
     assert_eq!((faults.killed, faults.restarted), (21, 20));
     assert!(faults.delayed > 1000);
     assert!(
-        cluster.all_gateways().all(|f| f.count_logged("engine ejected on gossip", since) == 0),
-        "an ended member's report counted"
+        cluster.all_gateways().all(|g| g.count_logged("engine ejected on gossip", since) == 0),
+        "a gateway ejected an engine on the report of an ended member"
     );
 }
 
@@ -139,7 +139,7 @@
     let mut cluster = Cluster::start(ClusterConfig { signing_key: Some(vec![b'1'; 32]), ..setup(4, 2, 71) });
     cluster.wait_until("all members are known", JOIN_TIMEOUT, |c| see_live_members(c, 0..4, 4));
     let path = cluster.folder().join("peers.key");
-    // An invalid file leaves the old key in use.
+    // With an invalid key file the old key stays in use.
     std::fs::write(&path, "short").unwrap();
     cluster.gateway(0).reload();
     cluster.wait_until("the invalid key is logged", 5 * SECOND, |c| {
--- a/gateway/tests/gossip/rogue.rs
+++ b/gateway/tests/gossip/rogue.rs
@@ -15,9 +15,9 @@
         Cluster::start(ClusterConfig { rogue_gateways: vec![19], signing_key: key, ..setup(20, 10, seed) });
     cluster.start_load(&Load::lookups(20, 16.0, 50.0, seed));
     let engines: Vec<_> = (0..10).map(engine_id).collect();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let rogue = cluster.start_rogue_gateway(19, rogue_key);
-    while began.elapsed() < 5 * SECOND {
+    while started_at.elapsed() < 5 * SECOND {
         rogue.report_failing(&engines);
         rogue.report_slow_and_restarted(&engines);
         rogue.replay();
@@ -26,22 +26,22 @@
         rogue.begin_incarnation();
         std::thread::sleep(SECOND / 10);
     }
-    let share = min_share(&cluster, began);
+    let share = min_share(&cluster, started_at);
     let records = cluster.end_load();
     let served =
-        records.iter().filter(|a| a.outcome == RequestOutcome::Served).count() as f64 / records.len() as f64;
+        records.iter().filter(|r| r.outcome == RequestOutcome::Served).count() as f64 / records.len() as f64;
     let counts = ["taken", "stranger", "flood", "forged", "garbled", "stale", "believed"];
     let counts = counts.map(|c| (c, sum_of_metric(&cluster, &format!("peers_{c}"))));
-    let bytes = (0..19).map(|f| cluster.gossip_network.max_bytes_per_second(f)).max().unwrap();
+    let bytes = (0..19).map(|g| cluster.gossip_network.max_bytes_per_second(g)).max().unwrap();
     println!(
         "right key {}: smallest share {share:.2}, served {served:.3}, at most {bytes} bytes a second, {counts:?}; {}",
         if rogue_key.is_some() { "held" } else { "not held" },
         cluster.applied_faults()
     );
     let count = |name: &str| counts.iter().find(|c| c.0 == name).unwrap().1;
-    assert_eq!(count("believed"), 0, "no engine is ejected on the reports of one gateway");
-    let restarts: usize = cluster.all_gateways().map(|f| f.count_logged(RESTART_REPORTED, began)).sum();
-    assert_eq!(restarts, 0, "no engine is in slow start on the reports of one gateway");
+    assert_eq!(count("believed"), 0, "an engine was ejected on the reports of one gateway");
+    let restarts: usize = cluster.all_gateways().map(|g| g.count_logged(RESTART_REPORTED, started_at)).sum();
+    assert_eq!(restarts, 0, "an engine is in slow start on the reports of one gateway");
     assert!(share > 0.5 && served > 0.99, "{share} {served}");
     assert!(bytes <= 8192, "{bytes}");
     if cluster.config.signing_key.is_some() && rogue_key.is_none() {
