--- a/gateway/tests/multicore/coordination.rs
+++ b/gateway/tests/multicore/coordination.rs
@@ -1,7 +1,7 @@
-//! What the cores of a gateway decide together: a slow-start budget and the order of one idempotency key. The same
-//! load on gateways that do not coordinate shows that the checkers detect a violation.
+//! Decisions that the cores of a gateway coordinate: a slow-start budget, and the order of requests with one
+//! idempotency key. The same load on several gateways, which do not coordinate, shows that the checks detect a violation.
 
-use crate::cores;
+use crate::operator_with_cores;
 use crate::support::mysql::{Client, fields};
 use crate::support::{config, config_with, gateway, initial_endpoints, settings};
 use reedwalk_gateway::config::Config;
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Three seconds of analytical statements at this rate a second.
+/// Three seconds of analytical statements at this rate per second.
 fn statement_load(rate: f64, timeout_ms: u64) -> LoadPlan {
     let class = RequestClass {
         route: "statement",
@@ -39,21 +39,26 @@
     }
 }
 
-/// What an engine in slow start was sent.
+/// The attempts that an engine in slow start received.
 struct SlowStartResult {
-    /// Windows in which it was sent more than the budget.
+    /// Windows in which they exceeded the budget.
     overruns: usize,
-    /// All attempts it was sent.
+    /// The number of all attempts.
     attempts: usize,
     /// The work of the fullest window, as a fraction of the budget.
     peak: f64,
 }
 
-/// Overloads two warm engines and one that has just started. Several gateways do not know of each other;
-/// `start_listed` says whether the engine list holds the time of the start.
-async fn slow_start(gateways: usize, cores_each: usize, rate: f64, start_listed: bool) -> SlowStartResult {
-    let (record, shape) = (RequestLog::default(), Shape { cores: 8.0, ..Shape::default() });
-    // It never fails under overload, so that all attempts can be counted.
+/// Overloads two engines that are past their slow start and one that has just started. Several gateways do not know of
+/// each other; `start_listed` tells whether the engine list has the start time of the new engine.
+async fn overload_starting_engine(
+    gateways: usize,
+    cores_per_gateway: usize,
+    rate: f64,
+    start_listed: bool,
+) -> SlowStartResult {
+    let (request_log, shape) = (RequestLog::default(), Shape { cores: 8.0, ..Shape::default() });
+    // Set so that the engine does not fail under overload, and all attempts can be counted.
     let starting = Shape {
         slow_start: Some(RampShape { initial_share: 0.33, ramp_s: 15.0 }),
         overload: OverloadRule { multiple: 1e9, window_s: 1.0, outage_s: 1.0 },
@@ -61,9 +66,9 @@
     };
     let mut engines = Vec::new();
     for (name, shape) in [("a", &shape), ("b", &shape), ("c", &starting)] {
-        engines.push(start_modelled_engine(name, Some(shape.clone()), record.clone()).await.address);
+        engines.push(start_modelled_engine(name, Some(shape.clone()), request_log.clone()).await.address);
     }
-    let at = Instant::now();
+    let started_at = Instant::now();
     let started_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
     let mut list = initial_endpoints(&engines);
     list["results"][0]["fleet"]["servers"][2]["started_ms"] =
@@ -71,19 +76,19 @@
     let mut running = Vec::new();
     for n in 0..gateways {
         let config = Config { initial_endpoints: Some(list.clone()), seed: 7 + n as u64, ..config(&engines) };
-        running.push(gateway(config, cores(cores_each)).await);
+        running.push(gateway(config, operator_with_cores(cores_per_gateway)).await);
     }
     let addresses: Vec<_> = running.iter().map(|r| r.mysql).collect();
     let plan = statement_load(rate, 4000);
-    let result = tokio::task::spawn_blocking(move || {
+    let load_result = tokio::task::spawn_blocking(move || {
         load_generator::run(&addresses, &plan, Duration::from_millis(200))
     })
     .await;
-    assert_eq!(result.unwrap().lost, 0);
+    assert_eq!(load_result.unwrap().lost, 0);
     let (second, ramp) = (Duration::from_secs(1), Duration::from_secs(15));
-    let start = SlowStart {
+    let rule = SlowStart {
         engine: "c".into(),
-        started_at: at,
+        started_at,
         cores: 8.0,
         initial_share: 0.33,
         ramp,
@@ -91,43 +96,47 @@
         multiple: 2.5,
     };
     SlowStartResult {
-        overruns: record.slow_start_overruns(&start),
-        attempts: record.attempts_at("c"),
-        peak: record.slow_start_peak(&start),
+        overruns: request_log.slow_start_overruns(&rule),
+        attempts: request_log.attempts_at("c"),
+        peak: request_log.slow_start_peak(&rule),
     }
 }
 
 #[tokio::test]
 async fn all_cores_together_keep_to_a_slow_start_budget() {
-    let SlowStartResult { overruns, attempts, peak } = slow_start(1, 8, 60.0, true).await;
+    let SlowStartResult { overruns, attempts, peak } = overload_starting_engine(1, 8, 60.0, true).await;
     assert_eq!(overruns, 0, "{attempts} attempts, the fullest window at {peak} of the budget");
 }
 
 #[tokio::test]
-async fn checker_detects_uncoordinated_slow_start() {
-    assert!(slow_start(8, 1, 60.0, false).await.overruns > 0);
+async fn check_detects_uncoordinated_slow_start() {
+    assert!(overload_starting_engine(8, 1, 60.0, false).await.overruns > 0);
 }
 
-/// Gateways with three engines, under settings that serve the requests of a key in order.
-async fn ordered_gateways(gateways: usize, cores_each: usize, record: &RequestLog) -> Vec<Running> {
+/// Starts gateways with three engines and settings under which the requests of a key are served in order.
+async fn ordered_gateways(
+    gateways: usize,
+    cores_per_gateway: usize,
+    request_log: &RequestLog,
+) -> Vec<Running> {
     let mut engines: Vec<SocketAddr> = Vec::new();
     for name in ["a", "b", "c"] {
         let shape = Shape { cores: 8.0, ..Shape::default() };
-        engines.push(start_modelled_engine(name, Some(shape), record.clone()).await.address);
+        engines.push(start_modelled_engine(name, Some(shape), request_log.clone()).await.address);
     }
     let mut settings: Value = settings();
     settings["RequestClasses"][2]["InOrder"] = json!(true);
     let mut running = Vec::new();
     for _ in 0..gateways {
-        running.push(gateway(config_with(&engines, &settings), cores(cores_each)).await);
+        running.push(gateway(config_with(&engines, &settings), operator_with_cores(cores_per_gateway)).await);
     }
     running
 }
 
-/// Sends eight requests with one key at once over eight sessions; the most that were in flight at one time.
-async fn max_in_flight_of_one_key(gateways: usize, cores_each: usize) -> usize {
-    let record = RequestLog::default();
-    let running = ordered_gateways(gateways, cores_each, &record).await;
+/// Sends eight requests with one key at once over eight sessions. Returns the most that were in flight at one time.
+async fn max_in_flight_of_one_key(gateways: usize, cores_per_gateway: usize) -> usize {
+    let request_log = RequestLog::default();
+    let running = ordered_gateways(gateways, cores_per_gateway, &request_log).await;
     let mut clients = Vec::new();
     for n in 0..8 {
         clients.push(Client::connect(running[n % gateways].mysql).await);
@@ -139,11 +148,14 @@
     for client in &mut clients {
         assert!(client.answer().await.is_ok());
     }
-    record.max_in_flight_per_key()
+    request_log.max_in_flight_per_key()
 }
 
 #[tokio::test]
 async fn one_key_is_never_in_flight_twice_across_cores() {
     assert_eq!(max_in_flight_of_one_key(1, 4).await, 1);
-    assert!(max_in_flight_of_one_key(4, 1).await > 1, "the checker detects gateways that do not coordinate");
+    assert!(
+        max_in_flight_of_one_key(4, 1).await > 1,
+        "the check does not detect gateways that do not coordinate"
+    );
 }
--- a/gateway/tests/multicore/sessions.rs
+++ b/gateway/tests/multicore/sessions.rs
@@ -1,6 +1,6 @@
-//! What holds for sessions on all cores alike: cancels, shutdown, reloads and limits.
+//! Cancels, shutdown, reloads and limits apply to the sessions on all cores.
 
-use crate::cores;
+use crate::operator_with_cores;
 use crate::support::mysql::{Client, fields};
 use crate::support::{
     Outcome, TestBed, config, discovery_server, endpoint_list, gateway, listed, resp, resp_engines, until,
@@ -14,7 +14,7 @@
 use reedwalk_testkit::resp::start_modelled_engine;
 use std::time::{Duration, Instant};
 
-/// Sessions on every core that accepts connections.
+/// Opens sessions and checks that every core that accepts connections has its part of them.
 async fn sessions_on_all_cores(running: &Running, sessions: usize) -> Vec<Client> {
     let mut clients = Vec::new();
     for _ in 0..sessions {
@@ -28,7 +28,8 @@
 #[tokio::test]
 async fn kill_query_works_across_cores() {
     let test_bed = TestBed::default();
-    let running = gateway(config(&[resp::start_engine("a", test_bed.clone()).await]), cores(4)).await;
+    let running =
+        gateway(config(&[resp::start_engine("a", test_bed.clone()).await]), operator_with_cores(4)).await;
     let (mut one, mut other) = (Client::connect(running.mysql).await, Client::connect(running.mysql).await);
     let connections = running.multicore().connections_per_core();
     assert!(connections.iter().all(|n| *n <= 1), "the sessions share a core: {connections:?}");
@@ -44,7 +45,7 @@
     let record = RequestLog::default();
     let engine =
         start_modelled_engine("a", Some(Shape { cores: 8.0, ..Shape::default() }), record.clone()).await;
-    let running = gateway(config(&[engine.address]), cores(4)).await;
+    let running = gateway(config(&[engine.address]), operator_with_cores(4)).await;
     let mut clients = sessions_on_all_cores(&running, 9).await;
     for (n, client) in clients.iter_mut().enumerate() {
         client.send_query(&fields("lookup", 6000, None, &format!("SELECT {n} WORK 400"))).await;
@@ -61,21 +62,21 @@
 async fn reload_applies_on_all_cores_within_a_second() {
     let test_bed = TestBed::default();
     let [a, b] = resp_engines(&test_bed).await;
-    let running = gateway(config(&[a]), cores(4)).await;
+    let running = gateway(config(&[a]), operator_with_cores(4)).await;
     let mut clients = sessions_on_all_cores(&running, 9).await;
     let (server, _) = discovery_server::start_server(endpoint_list(9, vec![listed("s-1", b)])).await;
-    let reloaded = Instant::now();
+    let reloaded_at = Instant::now();
     running.reloader().apply(Config { name_server: Some(server), ..config(&[a]) });
-    // Once one request reaches the new engine, the old one has been removed from the list.
+    // Once a request reaches the new engine, the old one has been removed from the list.
     while test_bed.attempts_at("b") == 0 {
-        assert!(reloaded.elapsed() < Duration::from_secs(1));
+        assert!(reloaded_at.elapsed() < Duration::from_secs(1));
         assert_eq!(clients[0].outcome(&fields("lookup", 5000, None, "SELECT 1")).await, Outcome::Served);
     }
-    let before = test_bed.attempts_at("a");
+    let attempts_before = test_bed.attempts_at("a");
     for client in &mut clients {
         assert_eq!(client.outcome(&fields("lookup", 5000, None, "SELECT 2")).await, Outcome::Served);
     }
-    assert_eq!((test_bed.attempts_at("a"), test_bed.attempts_at("b") >= 10), (before, true));
+    assert_eq!((test_bed.attempts_at("a"), test_bed.attempts_at("b") >= 10), (attempts_before, true));
 }
 
 #[test]
--- a/gateway/tests/multicore/stalls.rs
+++ b/gateway/tests/multicore/stalls.rs
@@ -1,11 +1,14 @@
-//! A stalled core: no late attempt from it, no connection to it, and no delay of requests on other cores.
+//! A stalled core: it sends no attempt too late, is given no connections, and does not delay requests on other cores.
 
 use crate::support::mysql::{Client, fields};
 use crate::support::{
     ANY_PORT, Outcome, TestBed, both_protocols, config, config_with, discovery_server, draining,
     endpoint_list, flight, gateway, listed, resp, settings, until,
 };
-use crate::{DRAIN_GRACE, STALL, SeparateCores, core_of_new_connection, cores, long_objective_config, stall};
+use crate::{
+    DRAIN_GRACE, STALL_DURATION, SeparateCores, core_of_new_connection, long_objective_config,
+    operator_with_cores, stall_core,
+};
 use reedwalk_gateway::config::Config;
 use reedwalk_gateway::operator::{EngineProtocol, OperatorConfig};
 use serde_json::json;
@@ -22,22 +25,25 @@
     let (server, _) = discovery_server::start_server(list.clone()).await;
     let SeparateCores { running, mut client, engine_core, .. } =
         SeparateCores::start(&test_bed, server, a).await;
-    stall(&running, engine_core, STALL);
-    let stalled = Instant::now();
+    stall_core(&running, engine_core, STALL_DURATION);
+    let stalled_at = Instant::now();
     client.send_query(&fields("lookup", 6000, None, "SELECT 2")).await;
     // The attempt is queued at the stalled core before the engine drains.
     tokio::time::sleep(Duration::from_millis(100)).await;
     *list.lock().unwrap() = (3, vec![draining("s-0", a), listed("s-1", b)]);
-    let drained = Instant::now();
-    assert!(client.answer().await.is_ok(), "the silent attempt is retried elsewhere");
+    let drained_at = Instant::now();
+    assert!(
+        client.answer().await.is_ok(),
+        "the attempt that reports no progress is retried on another engine"
+    );
     assert_eq!((test_bed.attempts_at("a"), test_bed.attempts_at("b")), (1, 1));
-    // When its heartbeat is back, the core has processed all that was queued during the stall.
+    // Once the core sends heartbeats again, it has processed everything that was queued during the stall.
     until("the core has resumed", || {
-        stalled.elapsed() > STALL && running.multicore().accepts_connections(engine_core)
+        stalled_at.elapsed() > STALL_DURATION && running.multicore().accepts_connections(engine_core)
     })
     .await;
-    assert!(drained.elapsed() > DRAIN_GRACE);
-    assert_eq!(test_bed.attempts_at("a"), 1, "a late attempt");
+    assert!(drained_at.elapsed() > DRAIN_GRACE);
+    assert_eq!(test_bed.attempts_at("a"), 1, "an attempt was sent after the drain grace");
 }
 
 #[tokio::test]
@@ -50,7 +56,7 @@
         SeparateCores::start(&test_bed, server, a).await;
     assert_eq!(test_bed.connections("a"), 1);
     // Shorter than the progress timeout: the attempt is still wanted when the core resumes.
-    stall(&running, engine_core, Duration::from_millis(800));
+    stall_core(&running, engine_core, Duration::from_millis(800));
     client.send_query(&fields("lookup", 6000, None, "SELECT 2")).await;
     tokio::time::sleep(Duration::from_millis(50)).await;
     *list.lock().unwrap() = (3, vec![listed("s-9", a)]);
@@ -66,7 +72,7 @@
 #[tokio::test]
 async fn attempt_behind_a_full_socket_is_not_written_to_a_drained_engine() {
     const QUERIES: usize = 30;
-    // The concurrency limit of the engine admits all of them at once; the socket takes a part.
+    // The concurrency limit of the engine admits all queries at once; the socket buffer holds only some of them.
     let mut settings = settings();
     settings["Specifics"]["SizeCores"] = json!([64]);
     let test_bed = TestBed::default();
@@ -77,7 +83,7 @@
     let list = endpoint_list(2, vec![listed("s-0", a)]);
     let (server, _) = discovery_server::start_server(list.clone()).await;
     let config = Config { name_server: Some(server), ..config_with(&[a], &settings) };
-    let running = gateway(config, cores(4)).await;
+    let running = gateway(config, operator_with_cores(4)).await;
     let mut clients = Vec::new();
     for n in 0..QUERIES {
         let mut client = Client::connect(running.mysql).await;
@@ -88,20 +94,20 @@
     let (mut engine, _) = listener.accept().await.unwrap();
     tokio::time::sleep(Duration::from_millis(300)).await;
     *list.lock().unwrap() = (3, vec![draining("s-0", a), listed("s-1", b)]);
-    let drained = Instant::now();
+    let drained_at = Instant::now();
     for client in &mut clients {
-        // Served elsewhere, or rejected.
+        // Served by the other engine, or rejected.
         assert!(client.answer().await.is_ok_and(|rows| !rows.is_empty()) || test_bed.attempts_at("b") > 0);
     }
-    until("the grace is over", || drained.elapsed() > DRAIN_GRACE).await;
+    until("the drain grace is over", || drained_at.elapsed() > DRAIN_GRACE).await;
     let bytes = read_available(&mut engine).await;
     let pulls = bytes.windows(10).filter(|w| w == b"$4\r\nPULL\r\n").count();
     let kills = bytes.windows(10).filter(|w| w == b"$4\r\nKILL\r\n").count();
-    assert!((1..QUERIES).contains(&pulls), "{pulls} of {QUERIES} attempts were begun");
-    assert!(kills <= pulls, "{pulls} attempts begun before the drain, {kills} cancelled");
+    assert!((1..QUERIES).contains(&pulls), "{pulls} of {QUERIES} attempts were written");
+    assert!(kills <= pulls, "{pulls} attempts written before the drain, {kills} cancelled");
 }
 
-/// All bytes that have arrived, until the stream pauses for 300 ms or ends.
+/// Reads until no bytes arrive for 300 ms, or the stream ends.
 async fn read_available(stream: &mut TcpStream) -> Vec<u8> {
     let pause = Duration::from_millis(300);
     let mut bytes = Vec::new();
@@ -116,9 +122,10 @@
 #[tokio::test]
 async fn stalled_core_gets_no_connections_until_it_recovers() {
     let test_bed = TestBed::default();
-    let running = gateway(config(&[resp::start_engine("a", test_bed.clone()).await]), cores(4)).await;
+    let running =
+        gateway(config(&[resp::start_engine("a", test_bed.clone()).await]), operator_with_cores(4)).await;
     let cores = running.multicore();
-    stall(&running, 1, STALL);
+    stall_core(&running, 1, STALL_DURATION);
     until("the stall is detected", || !cores.accepts_connections(1)).await;
     let started = Instant::now();
     let mut clients = Vec::new();
@@ -128,7 +135,10 @@
         assert_eq!(client.outcome(&query).await, Outcome::Served);
         clients.push(client);
     }
-    assert!(!cores.accepts_connections(1) && started.elapsed() < STALL, "all were served during the stall");
+    assert!(
+        !cores.accepts_connections(1) && started.elapsed() < STALL_DURATION,
+        "the stall ended before all requests were served"
+    );
     assert_eq!(cores.connections_per_core()[1], 0);
     until("the core has resumed", || cores.accepts_connections(1)).await;
     let client = Client::connect(running.mysql).await;
@@ -140,16 +150,17 @@
 #[tokio::test]
 async fn requests_end_at_their_deadline_while_the_broker_core_is_stalled() {
     let test_bed = TestBed::default();
-    let running = gateway(config(&[resp::start_engine("a", test_bed.clone()).await]), cores(3)).await;
+    let running =
+        gateway(config(&[resp::start_engine("a", test_bed.clone()).await]), operator_with_cores(3)).await;
     let mut client = Client::connect(running.mysql).await;
     assert_eq!(client.outcome(&fields("lookup", 5000, None, "SELECT 1")).await, Outcome::Served);
-    stall(&running, 0, STALL);
+    stall_core(&running, 0, STALL_DURATION);
     let started = Instant::now();
     assert_eq!(client.outcome(&fields("lookup", 1000, None, "SELECT 2")).await, Outcome::Failed("DEADLINE"));
     assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
-    // The resumed broker drops the request that was abandoned meanwhile and decides on new ones.
+    // The resumed broker drops the request that was abandoned during the stall, and schedules new ones.
     until("the broker has resumed", || {
-        running.multicore().accepts_connections(0) && started.elapsed() > STALL
+        running.multicore().accepts_connections(0) && started.elapsed() > STALL_DURATION
     })
     .await;
     assert_eq!(client.outcome(&fields("lookup", 5000, None, "SELECT 3")).await, Outcome::Served);
@@ -176,11 +187,18 @@
     let engine_core = core_of_new_connection(&running, &before);
     assert_ne!(session_core, engine_core);
     let info = client.info("SELECT 2").await.unwrap();
-    stall(&running, engine_core, STALL);
+    stall_core(&running, engine_core, STALL_DURATION);
     let ticket = info.endpoint[0].ticket.clone().unwrap();
     let call = tokio::spawn(async move { client.get(ticket).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
     *list.lock().unwrap() = (3, vec![draining("s-0", a), listed("s-1", b)]);
-    assert!(call.await.unwrap().is_ok(), "withdrawn by the drain guard, and served elsewhere");
-    assert_eq!((test_bed.attempts_at("a"), test_bed.attempts_at("b")), (1, 1), "a late attempt");
+    assert!(
+        call.await.unwrap().is_ok(),
+        "the drain guard withdraws the attempt, and the other engine serves the request"
+    );
+    assert_eq!(
+        (test_bed.attempts_at("a"), test_bed.attempts_at("b")),
+        (1, 1),
+        "an attempt was sent after the drain grace"
+    );
 }
