--- a/gateway/tests/support/cluster.rs
+++ b/gateway/tests/support/cluster.rs
@@ -6,13 +6,13 @@
 
 pub const SECOND: Duration = Duration::from_secs(1);
 
-/// Held by a test while its cluster runs: one cluster at a time has the machine for itself.
+/// Lock that a test holds while its cluster runs, so that only one cluster loads the machine at a time.
 pub fn exclusive_machine() -> MutexGuard<'static, ()> {
     static MACHINE: Mutex<()> = Mutex::new(());
     MACHINE.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A cluster of the built program.
+/// The configuration of a cluster of processes of the built program.
 pub fn setup(gateways: usize, engines: usize, seed: u64) -> ClusterConfig {
     ClusterConfig::new(env!("CARGO_BIN_EXE_reedwalk"), gateways, engines, seed)
 }
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -23,7 +23,7 @@
 /// Any free port on loopback.
 pub const ANY_PORT: &str = "127.0.0.1:0";
 
-/// A folder of its own for each call.
+/// Creates a folder for the caller; each call returns another one.
 pub fn folder() -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -33,7 +33,7 @@
     path
 }
 
-/// The configuration of property tests: so many cases from one fixed seed.
+/// The configuration of property tests: the number of cases, which are generated from a fixed seed.
 pub fn proptest_cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(20_261_201),
@@ -43,7 +43,7 @@
     }
 }
 
-/// A logger that drops every record.
+/// A logger that discards every record.
 pub fn discard_log() -> slog::Logger {
     slog::Logger::root(slog::Discard, slog::o!())
 }
@@ -53,12 +53,12 @@
     tokio::net::TcpListener::bind(ANY_PORT).await.unwrap().local_addr().unwrap()
 }
 
-/// The configuration of a gateway that starts with these engines, under the settings of the test kit.
+/// The configuration of a gateway that starts with these engines, with the settings of the test kit.
 pub fn config(engines: &[SocketAddr]) -> Config {
     config_with(engines, &settings())
 }
 
-/// The same under other settings.
+/// As [`config`], with other settings.
 pub fn config_with(engines: &[SocketAddr], settings: &serde_json::Value) -> Config {
     Config {
         name: "n0".into(),
@@ -75,29 +75,29 @@
     }
 }
 
-/// An operator file that serves MySQL and Flight SQL, with engines on this protocol.
+/// An operator file that serves MySQL and Flight SQL clients, with engines that speak the given protocol.
 pub fn both_protocols(engine_protocol: EngineProtocol) -> OperatorConfig {
     let flight =
         FlightFront { listen: ANY_PORT.parse().unwrap(), max_connections: 16, max_message_bytes: 256 * 1024 };
     OperatorConfig { flight: Some(flight), engine_protocol, ..OperatorConfig::default() }
 }
 
-/// A running gateway.
+/// Starts a gateway.
 pub async fn gateway(config: Config, operator: OperatorConfig) -> Running {
     start(config, operator, &discard_log()).await.unwrap()
 }
 
-/// A running gateway with the engines `a` and `b` on RESP.
+/// Starts a gateway with the engines `a` and `b`, which speak RESP.
 pub async fn with_engines(test_bed: &TestBed) -> Running {
     gateway(config(&resp_engines(test_bed).await), OperatorConfig::default()).await
 }
 
-/// The addresses of the engines `a` and `b` on RESP.
+/// Starts the engines `a` and `b`, which speak RESP, and returns their addresses.
 pub async fn resp_engines(test_bed: &TestBed) -> [SocketAddr; 2] {
     [resp::start_engine("a", test_bed.clone()).await, resp::start_engine("b", test_bed.clone()).await]
 }
 
-/// The addresses of the engines `a` and `b` on Flight SQL.
+/// Starts the engines `a` and `b`, which speak Flight SQL, and returns their addresses.
 pub async fn flight_engines(test_bed: &TestBed) -> [SocketAddr; 2] {
     [flight::start_engine("a", test_bed.clone()).await, flight::start_engine("b", test_bed.clone()).await]
 }
@@ -107,7 +107,7 @@
     discovery_server::ListedEngine { id: id.into(), address, draining: false, started_ms: 0 }
 }
 
-/// The same engine while it drains.
+/// As [`listed`], but the engine drains.
 pub fn draining(id: &'static str, address: SocketAddr) -> discovery_server::ListedEngine {
     discovery_server::ListedEngine { draining: true, ..listed(id, address) }
 }
--- a/gateway/tests/support/process.rs
+++ b/gateway/tests/support/process.rs
@@ -1,4 +1,4 @@
-//! A gateway as the platform starts it: a process of the built program.
+//! A gateway as a process of the built program, as in production.
 
 use super::{ANY_PORT, initial_endpoints, settings};
 use serde_json::{Value, json};
@@ -22,18 +22,18 @@
     pub discovery: Option<SocketAddr>,
     pub memory_mb: u64,
     pub sockets: usize,
-    /// The engine list at the start.
+    /// The engine list with which the process starts.
     pub known: Value,
     pub settings: Value,
 }
 
 impl ProcessConfig {
-    /// Any free port, a console and no discovery server.
+    /// Free ports, a console and no discovery server.
     pub fn new(engines: &[SocketAddr]) -> Self {
-        let any = ANY_PORT.parse().unwrap();
+        let any_port = ANY_PORT.parse().unwrap();
         Self {
-            listen: any,
-            console: Some(any),
+            listen: any_port,
+            console: Some(any_port),
             discovery: None,
             memory_mb: 48,
             sockets: 256,
@@ -55,7 +55,7 @@
     }
 }
 
-/// One process; killed by its id when a test fails halfway.
+/// A gateway process. It is killed by its id when dropped, also when a test fails.
 pub struct Process {
     pub child: Child,
     pub mysql: SocketAddr,
@@ -72,7 +72,7 @@
 }
 
 impl Process {
-    /// Starts it with this configuration file and reads its addresses from its log.
+    /// Starts a process with this configuration file and reads its addresses from its log.
     pub fn start(config: &Path, folder: &Path, operator: Option<&Path>) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_reedwalk"));
         command.arg("serve").arg("--config").arg(config);
@@ -89,9 +89,9 @@
             .inspect(|l| log.lock().unwrap().push(l.clone()))
             .find(|l| l.contains("serving"))
             .expect("the process did not start");
-        // The log is read to its end, so that the process never blocks on a full pipe.
-        let read = log.clone();
-        std::thread::spawn(move || lines.for_each(|l| read.lock().unwrap().push(l.unwrap())));
+        // Reads the log to its end, so that the process never blocks on a full pipe.
+        let lines_read = log.clone();
+        std::thread::spawn(move || lines.for_each(|l| lines_read.lock().unwrap().push(l.unwrap())));
         let Some(mysql) = address(&record, "mysql") else {
             let _ = child.kill();
             panic!("no address in the record: {record}");
@@ -105,18 +105,18 @@
         self.console.expect("this process has no console")
     }
 
-    /// Sends it this signal, such as `-TERM`.
+    /// Sends the process a signal, given as for `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").arg(name).arg(self.child.id().to_string()).status().unwrap();
         assert!(status.success());
     }
 
-    /// Lines of its log that contain this text.
+    /// The number of lines of its log that contain this text.
     pub fn logged(&self, text: &str) -> usize {
         self.log.lock().unwrap().iter().filter(|l| l.contains(text)).count()
     }
 
-    /// Waits for its exit; none where a signal ended it.
+    /// Waits until the process exits and returns its exit code; `None` if a signal ended it.
     pub async fn exit_code(&mut self) -> Option<i32> {
         let deadline = Instant::now() + EXIT_TIMEOUT;
         loop {
@@ -129,7 +129,7 @@
     }
 }
 
-/// The address under this key of the record "serving"; none where the key is absent or off.
+/// The address under this key of the record "serving"; `None` if the key is absent or its server is off.
 fn address(record: &str, key: &str) -> Option<SocketAddr> {
     let (_, value) = record.split_once(&format!("{key}: "))?;
     value.trim_start_matches("Some(").split([',', ')']).next()?.trim().parse().ok()
