--- a/gateway/tests/mysql_front.rs
+++ b/gateway/tests/mysql_front.rs
@@ -1,4 +1,4 @@
-//! MySQL clients and engines on RESP: answers, cancels, malformed answers, deadlines and session slots.
+//! MySQL clients and RESP engines: answers, cancellation, malformed answers, deadlines and session slots.
 
 mod support;
 
@@ -47,10 +47,10 @@
     let test_bed = TestBed::default();
     let gateway = with_engines(&test_bed).await;
     let mut client = Client::connect(gateway.mysql).await;
-    for bad in ["SELECT 1", "/* route=nothing,trace=9b1f03aa5c7e2d41,patience=9 */ SELECT 1"] {
-        assert_eq!(client.outcome(bad).await, Outcome::BadInput);
+    for invalid in ["SELECT 1", "/* route=nothing,trace=9b1f03aa5c7e2d41,patience=9 */ SELECT 1"] {
+        assert_eq!(client.outcome(invalid).await, Outcome::BadInput);
     }
-    // A class with idempotency keys and a request without one: a retry would have a second effect.
+    // This class requires an idempotency key: without one, a retry could take effect a second time.
     assert_eq!(client.outcome(&fields("batch-post", 900, None, "INSERT")).await, Outcome::BadInput);
     assert_eq!(client.outcome(&fields("lookup", 3000, None, "SELECT 1")).await, Outcome::Served);
     client.stream.write_all(&[1, 0, 0, 9, 3]).await.unwrap();
@@ -69,7 +69,7 @@
     other.query(&format!("KILL QUERY {}", client.id)).await.unwrap();
     assert_eq!(client.answer().await.unwrap_err().0, 1317);
     until("the attempt is cancelled at the engine", || test_bed.was_cancelled("HANG 1")).await;
-    // The session stays open; a KILL QUERY that is too early or late has no effect on the next query.
+    // The session stays open, and a KILL QUERY while no query runs has no effect on the next one.
     other.query(&format!("KILL QUERY {}", client.id)).await.unwrap();
     assert_eq!(client.outcome(&fields("lookup", 3000, None, "SELECT 1")).await, Outcome::Served);
     client.stream.write_all(&query_packet(&fields("statement", 9000, None, "HANG 2"))).await.unwrap();
@@ -106,7 +106,7 @@
         let started = Instant::now();
         assert_eq!(client.query(&fields("statement", 9000, None, statement)).await.unwrap(), expected_rows());
         assert_eq!(test_bed.attempts(statement), attempts, "{statement}");
-        // Detected by its contents, long before progress reports are missed.
+        // Detected from the answer itself, long before the timeout for missing progress reports.
         assert!(started.elapsed() < Duration::from_millis(1200), "{statement}: {:?}", started.elapsed());
     }
     // A request that may have run is retried only if it is idempotent.
@@ -121,7 +121,7 @@
     let gateway = gateway(config(&engines), OperatorConfig::default()).await;
     let mut other = Client::connect(gateway.mysql).await;
     let mut client = Client::connect(gateway.mysql).await;
-    // Two requests on one connection: the malformed answer to the second closes it for both.
+    // Both requests share one engine connection, which the malformed answer to the second one closes.
     other.send_query(&fields("lookup", 3000, None, "LATER 1")).await;
     until("the attempt is in flight", || test_bed.attempts("LATER 1") == 1).await;
     assert_eq!(client.query(&fields("lookup", 3000, None, "NOISE 1")).await.unwrap(), expected_rows());
@@ -153,7 +153,7 @@
 
 #[tokio::test]
 async fn refused_connection_is_retried_elsewhere() {
-    // A class that must not run twice is retried only where the first attempt surely never ran.
+    // A request that is not idempotent is retried only if the first attempt certainly did not run.
     let test_bed = TestBed::default();
     let engines = [unused_address().await, resp::start_engine("b", test_bed.clone()).await];
     let gateway = gateway(config(&engines), OperatorConfig::default()).await;
@@ -219,7 +219,7 @@
     let gateway = gateway(config(&engines), OperatorConfig::default()).await;
     let mut stuck = Client::connect(gateway.mysql).await;
     let mut client = Client::connect(gateway.mysql).await;
-    // One of the two requests is sent to each engine; the client that is served continues without delay.
+    // Each engine gets one of the two requests; the client whose request is served continues without delay.
     stuck.send_query(&fields("statement", 9000, None, "SELECT 0")).await;
     client.send_query(&fields("statement", 9000, None, "SELECT 1")).await;
     let mut served = tokio::select! {
@@ -237,14 +237,14 @@
     assert!(silent.accept().await.is_ok(), "the silent engine got no attempt");
 }
 
-/// A gateway with one engine and a limit on descriptors, which limits its session slots.
+/// A gateway with one engine and a limit on file descriptors, from which its number of session slots follows.
 async fn with_socket_limit(sockets: usize) -> Running {
     let mut config = config(&[resp::start_engine("a", TestBed::default()).await]);
     config.limits.sockets = sockets;
     gateway(config, OperatorConfig::default()).await
 }
 
-/// The first packet of a new connection, once it begins with this byte.
+/// Opens connections until the first packet on one begins with this byte; returns that packet.
 async fn first_packet(gateway: &Running, wanted: u8) -> Vec<u8> {
     let deadline = Instant::now() + Duration::from_secs(10);
     loop {
@@ -269,7 +269,7 @@
     let error = first_packet(&gateway, 0xff).await;
     assert_eq!(u16::from_le_bytes([error[1], error[2]]), 1040);
     assert!(String::from_utf8_lossy(&error).contains("pause="));
-    // A closed session frees its slot: the next one is greeted.
+    // A closed session frees its slot, and a new connection gets a greeting.
     drop(open.pop());
     first_packet(&gateway, 10).await;
 }
@@ -287,10 +287,10 @@
         );
         idle.push(client);
         silent.push(TcpStream::connect(gateway.mysql).await.unwrap());
-        // Logged in, and then no message or half of one.
-        let mut half = TcpStream::connect(gateway.mysql).await.unwrap();
-        half.write_all(&[login_packet(), vec![9, 0, 0, 0, 3]][..1 + n % 2].concat()).await.unwrap();
-        silent.push(half);
+        // Logs in, then sends nothing or an incomplete packet.
+        let mut incomplete = TcpStream::connect(gateway.mysql).await.unwrap();
+        incomplete.write_all(&[login_packet(), vec![9, 0, 0, 0, 3]][..1 + n % 2].concat()).await.unwrap();
+        silent.push(incomplete);
         assert_eq!(active.outcome(&fields("lookup", 3000, None, &format!("U {n}"))).await, Outcome::Served);
     }
 }
@@ -304,11 +304,11 @@
     for bytes in incomplete {
         let mut client = Client { stream: TcpStream::connect(gateway.mysql).await.unwrap(), id: 0 };
         client.stream.write_all(&bytes.concat()).await.unwrap();
-        // A greeting, OK or error; then the end of the connection.
+        // Reads greeting, OK or error packets until the connection is closed.
         while client.read().await.is_some() {}
     }
     let elapsed = started.elapsed();
-    // Three of them last until their timeout of 2.5 s; without one, the test would never end.
+    // Three of the connections last until their timeout of 2.5 s; without a timeout the test would not end.
     assert!(elapsed > Duration::from_secs(5) && elapsed < Duration::from_secs(20), "{elapsed:?}");
 }
 
--- a/gateway/tests/parsers.rs
+++ b/gateway/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! The parsers against valid messages in random fragments and against random bytes, from a fixed seed.
+//! Property tests of the parsers, with a fixed seed: valid messages in random fragments, and random bytes.
 
 mod support;
 
@@ -12,11 +12,11 @@
 use reedwalk_gateway::message::Rows;
 use support::proptest_cases;
 
-/// The fragments of `bytes` between these cuts.
-fn fragments(bytes: &[u8], cuts: &[usize]) -> Vec<Vec<u8>> {
-    let mut at: Vec<_> = cuts.iter().map(|c| c % (bytes.len() + 1)).chain([0, bytes.len()]).collect();
-    at.sort_unstable();
-    at.windows(2).map(|w| bytes[w[0]..w[1]].to_vec()).collect()
+/// Splits `bytes` at these offsets, taken modulo its length plus one.
+fn fragments(bytes: &[u8], offsets: &[usize]) -> Vec<Vec<u8>> {
+    let mut bounds: Vec<_> = offsets.iter().map(|o| o % (bytes.len() + 1)).chain([0, bytes.len()]).collect();
+    bounds.sort_unstable();
+    bounds.windows(2).map(|w| bytes[w[0]..w[1]].to_vec()).collect()
 }
 
 proptest! {
@@ -25,17 +25,17 @@
     #[test]
     fn arrays_are_read_from_any_fragments(
         messages in prop::collection::vec(prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..5), 1..5),
-        cuts in prop::collection::vec(any::<usize>(), 0..12),
+        offsets in prop::collection::vec(any::<usize>(), 0..12),
     ) {
         let mut sent = BytesMut::new();
-        for words in &messages {
-            put_array(&mut sent, &words.iter().map(Vec::as_slice).collect::<Vec<_>>());
+        for elements in &messages {
+            put_array(&mut sent, &elements.iter().map(Vec::as_slice).collect::<Vec<_>>());
         }
         let (mut buffer, mut received) = (BytesMut::new(), Vec::new());
-        for fragment in fragments(&sent, &cuts) {
+        for fragment in fragments(&sent, &offsets) {
             buffer.extend_from_slice(&fragment);
-            while let Some(words) = take_array(&mut buffer).unwrap() {
-                received.push(words.iter().map(|w| w.to_vec()).collect::<Vec<_>>());
+            while let Some(elements) = take_array(&mut buffer).unwrap() {
+                received.push(elements.iter().map(|e| e.to_vec()).collect::<Vec<_>>());
             }
         }
         prop_assert_eq!(received, messages);
@@ -45,7 +45,7 @@
     #[test]
     fn packets_are_read_from_any_fragments(
         statements in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 1..5),
-        cuts in prop::collection::vec(any::<usize>(), 0..12),
+        offsets in prop::collection::vec(any::<usize>(), 0..12),
     ) {
         let mut sent = BytesMut::new();
         for statement in &statements {
@@ -54,7 +54,7 @@
             sent.extend_from_slice(statement);
         }
         let (mut buffer, mut received) = (BytesMut::new(), Vec::new());
-        for fragment in fragments(&sent, &cuts) {
+        for fragment in fragments(&sent, &offsets) {
             buffer.extend_from_slice(&fragment);
             while let Some(packet) = take_packet(&mut buffer, 0).unwrap() {
                 received.push(packet[1..].to_vec());
@@ -76,18 +76,18 @@
     }
 
     #[test]
-    fn malformed_bytes_are_an_error_or_incomplete(garbage in prop::collection::vec(any::<u8>(), 0..200)) {
-        let mut buffer = BytesMut::from(&garbage[..]);
-        while let Ok(Some(words)) = take_array(&mut buffer) {
-            let _ = read_reply(words);
+    fn malformed_bytes_are_an_error_or_incomplete(random_bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+        let mut buffer = BytesMut::from(&random_bytes[..]);
+        while let Ok(Some(elements)) = take_array(&mut buffer) {
+            let _ = read_reply(elements);
         }
-        let bytes = Bytes::from(garbage.clone());
-        let _ = take_packet(&mut BytesMut::from(&garbage[..]), 0);
+        let bytes = Bytes::from(random_bytes.clone());
+        let _ = take_packet(&mut BytesMut::from(&random_bytes[..]), 0);
         let _ = (read_login(bytes.clone()), read_command(bytes.clone()), take_fields(&bytes));
         let _ = (table_group(&bytes), kill_query(&bytes), read_page(&bytes, &mut Rows::default()));
-        let id = garbage.first_chunk().map_or(0, |id| u16::from_be_bytes(*id));
-        let _ = reedwalk_gateway::discovery::dns::parse_answer(&garbage, &[id]);
-        let _ = parse_timeout(&String::from_utf8_lossy(&garbage));
+        let id = random_bytes.first_chunk().map_or(0, |id| u16::from_be_bytes(*id));
+        let _ = reedwalk_gateway::discovery::dns::parse_answer(&random_bytes, &[id]);
+        let _ = parse_timeout(&String::from_utf8_lossy(&random_bytes));
     }
 
     #[test]
@@ -105,8 +105,8 @@
         let read: Vec<_> = rows.cells.iter().map(|c| c.clone().unwrap().to_vec()).collect();
         prop_assert_eq!(read, cells.iter().map(|c| c.clone().into_bytes()).collect::<Vec<_>>());
         if !page.is_empty() {
-            let cut = Bytes::from(page).slice(..cells.len() / 3);
-            prop_assert!(cut.ends_with(b"\n") || read_page(&cut, &mut Rows::default()).is_err());
+            let truncated = Bytes::from(page).slice(..cells.len() / 3);
+            prop_assert!(truncated.ends_with(b"\n") || read_page(&truncated, &mut Rows::default()).is_err());
         }
     }
 }
@@ -190,24 +190,25 @@
         is_update: false,
         statement: Bytes::from_static(b"SELECT 1"),
     };
-    let words = |attempt| {
+    let encoded_elements = |attempt| {
         let mut out = BytesMut::new();
         put_attempt(&mut out, &attempt, "report", now);
-        let words = take_array(&mut out).unwrap().unwrap();
-        words.iter().map(|w| String::from_utf8(w.to_vec()).unwrap()).collect::<Vec<_>>()
+        let elements = take_array(&mut out).unwrap().unwrap();
+        elements.iter().map(|e| String::from_utf8(e.to_vec()).unwrap()).collect::<Vec<_>>()
     };
-    let all_fields = words(attempt(Some(95.2), Some("5c0f")));
+    let all_fields = encoded_elements(attempt(Some(95.2), Some("5c0f")));
     assert_eq!(
         all_fields,
         ["PULL", "9b1f03aa5c7e2d41", "lane=report,ttl=1500,band=2,pool=96,dedupe=5c0f", "SELECT 1"]
     );
-    assert_eq!(words(attempt(None, None))[2], "lane=report,ttl=1500,band=2");
+    assert_eq!(encoded_elements(attempt(None, None))[2], "lane=report,ttl=1500,band=2");
 }
 
 #[test]
 fn reply_is_read_with_its_usage_load_and_progress() {
-    let reply =
-        |words: &[&'static str]| read_reply(words.iter().map(|w| Bytes::from_static(w.as_bytes())).collect());
+    let reply = |elements: &[&'static str]| {
+        read_reply(elements.iter().map(|e| Bytes::from_static(e.as_bytes())).collect())
+    };
     let ok =
         reply(&["t", "200", "total=3,elapsed=820.5,rss=96,rep=inflight:7;util:0.61;x1:nan", "a\tb\tc\n"])
             .unwrap();
