--- a/gateway/tests/registry.rs
+++ b/gateway/tests/registry.rs
@@ -1,4 +1,5 @@
-//! The endpoint registry against a simple model: any order of list events, console calls, restarts and hot restarts.
+//! Property tests of the endpoint registry against a simple model, over any order of list events, console calls,
+//! restarts and hot restarts.
 
 mod support;
 
@@ -19,19 +20,19 @@
 use support::{discard_log, folder, proptest_cases, settings};
 use tokio::time::Instant;
 
-/// Engines of the list, by number.
+/// Number of engines in the list.
 const ENGINES: usize = 4;
-/// The states of an engine, as the list has them.
+/// The engine states of the list.
 const STATES: [&str; 3] = ["in_service", "terminating", "terminated"];
 
-/// One event of a history.
+/// One operation of a generated sequence.
 #[derive(Clone, Debug)]
 enum Operation {
-    /// A list event for an engine: its state, by its place in [`STATES`], and whether it was restarted.
+    /// A list event for an engine: its state, as an index into [`STATES`], and whether it was restarted.
     ListEvent { engine: usize, state: u8, restarted: bool },
     /// A console call at one of the processes, which takes an engine out of service or returns it.
     ConsoleCall { process: usize, engine: usize, offline: bool },
-    /// A process ends, and another one starts with the present list.
+    /// A process ends, and another one starts with the current list.
     ProcessReplaced(usize),
 }
 
@@ -45,22 +46,22 @@
     ]
 }
 
-/// One process: the updates that its broker has read, by engine number.
+/// One process, and the latest update that its broker has read for each engine number.
 struct Process {
     registry: EndpointRegistry,
     endpoints: EndpointMailbox,
-    known: HashMap<u32, EndpointUpdate>,
+    updates: HashMap<u32, EndpointUpdate>,
 }
 
-/// The engine list: state and start of each engine, by number, with one event for each change.
+/// The engine list: index of the state and start time of each engine, by number. Each change is one event.
 struct List {
     seq: u32,
     engines: BTreeMap<usize, (u8, u64)>,
 }
 
 impl List {
-    /// All events so far, as one event that has the complete list.
-    fn known(&self) -> serde_json::Value {
+    /// One event with the complete list.
+    fn full_event(&self) -> serde_json::Value {
         let servers = self.engines.iter().map(|(n, (state, started))| {
             json!({"id": format!("s-{n}"), "addr": format!("10.1.0.{n}:8080"), "zone": "hall-a", "kind": "std-8c",
                 "state": STATES[usize::from(*state)], "started_ms": started})
@@ -84,22 +85,22 @@
             override_file,
             discard_log(),
         );
-        registry.apply_events(&list.known()).unwrap();
-        Self { registry, endpoints, known: HashMap::new() }
+        registry.apply_events(&list.full_event()).unwrap();
+        Self { registry, endpoints, updates: HashMap::new() }
     }
 
-    fn read(&mut self) {
+    fn read_updates(&mut self) {
         let updates = self.endpoints.take().into_iter();
-        self.known.extend(updates.map(|update| (update.endpoint.entry.engine.0, update)));
+        self.updates.extend(updates.map(|update| (update.endpoint.entry.engine.0, update)));
     }
 }
 
-/// The model: the list, the overrides of the operator, and two processes that share a folder.
+/// The expected state (the list and the operator's overrides), and the two processes under test, which share a folder.
 struct Model {
     folder: PathBuf,
     list: List,
     processes: [Process; 2],
-    /// Engines out of service by the operator.
+    /// Engines that the operator has taken out of service.
     offline: BTreeSet<usize>,
     /// Engines that the operator has returned to service, and when.
     returned: BTreeMap<usize, SystemTime>,
@@ -118,26 +119,31 @@
         let started = if restarted { u64::from(self.list.seq) } else { self.list.engines[&engine].1 };
         self.list.engines.insert(engine, (state, started));
         for process in &mut self.processes {
-            process.registry.apply_newer_events(&self.list.known()).unwrap();
+            process.registry.apply_newer_events(&self.list.full_event()).unwrap();
         }
     }
 
-    async fn console_call(&mut self, at: usize, engine: usize, offline: bool) -> Result<(), TestCaseError> {
+    async fn console_call(
+        &mut self,
+        process: usize,
+        engine: usize,
+        offline: bool,
+    ) -> Result<(), TestCaseError> {
         let value = if offline { Override::Out } else { Override::Returned };
-        let answer = self.processes[at].registry.set_override(&format!("s-{engine}"), value).await;
+        let answer = self.processes[process].registry.set_override(&format!("s-{engine}"), value).await;
         prop_assert_eq!(answer.is_ok(), engine < ENGINES, "only an unknown id is rejected");
         if engine < ENGINES && offline {
             self.offline.insert(engine);
         } else if engine < ENGINES && self.offline.remove(&engine) {
             self.returned.insert(engine, SystemTime::now());
         }
-        // The answer is binding at once in the process that gave it; the other one reads the file.
-        self.processes[at].read();
-        self.processes[1 - at].registry.reload_overrides();
+        // The override takes effect at once in the process that answered; the other one reads it from the file.
+        self.processes[process].read_updates();
+        self.processes[1 - process].registry.reload_overrides();
         Ok(())
     }
 
-    /// The state that every process must know of an engine.
+    /// The state that each process must have for an engine.
     fn expected_state(&self, engine: usize) -> EngineState {
         match (self.list.engines[&engine].0, self.offline.contains(&engine)) {
             (2, _) => EngineState::Removed,
@@ -148,17 +154,17 @@
 
     fn check(&self, process: &Process) -> Result<(), TestCaseError> {
         for (engine, (_, started)) in &self.list.engines {
-            // Found by its address: each process has engine numbers of its own.
+            // Looked up by address, because each process assigns its own engine numbers.
             let address = format!("10.1.0.{engine}:8080").parse().unwrap();
-            let known = process.known.values().find(|update| update.endpoint.address == address);
+            let update = process.updates.values().find(|update| update.endpoint.address == address);
             let expected = self.expected_state(*engine);
-            let Some(EndpointUpdate { endpoint, drain_guard }) = known else {
+            let Some(EndpointUpdate { endpoint, drain_guard }) = update else {
                 prop_assert_eq!(expected, EngineState::Removed);
                 continue;
             };
             prop_assert_eq!(endpoint.entry.state, expected, "engine {}", engine);
             let closed = expected == EngineState::Removed || self.offline.contains(engine);
-            // An engine that drains by the list alone may be written to for a while, or was offline before.
+            // While only the list drains an engine, its guard may be open (grace period) or closed (earlier override).
             if closed || expected == EngineState::InService {
                 let open = drain_guard.is_open(Instant::now());
                 prop_assert_eq!(open, !closed, "the drain guard of engine {}", engine);
@@ -172,7 +178,7 @@
     }
 }
 
-async fn run(operations: Vec<Operation>) -> Result<(), TestCaseError> {
+async fn run_operations(operations: Vec<Operation>) -> Result<(), TestCaseError> {
     let mut model = Model::new();
     for operation in operations {
         match operation {
@@ -180,11 +186,11 @@
             Operation::ConsoleCall { process, engine, offline } => {
                 model.console_call(process, engine, offline).await?;
             }
-            Operation::ProcessReplaced(at) => {
-                model.processes[at] = Process::start(&model.folder, &model.list);
+            Operation::ProcessReplaced(process) => {
+                model.processes[process] = Process::start(&model.folder, &model.list);
             }
         }
-        model.processes.iter_mut().for_each(Process::read);
+        model.processes.iter_mut().for_each(Process::read_updates);
         for process in &model.processes {
             model.check(process)?;
         }
@@ -199,7 +205,7 @@
     #[test]
     fn overrides_hold_through_any_order_of_events(operations in prop::collection::vec(operation(), 1..40)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
-        runtime.block_on(run(operations))?;
+        runtime.block_on(run_operations(operations))?;
     }
 
     #[test]
@@ -212,7 +218,7 @@
             match parse_command(line) {
                 Ok(Command::Offline(id) | Command::Online(id)) => prop_assert!(!id.is_empty() && !id.contains(' ')),
                 Ok(Command::Health | Command::Dump) => prop_assert!(line.len() >= 4),
-                // The reason is one line, whatever was in the call.
+                // The reason is a single line for any input.
                 Err(error) => prop_assert!(!error.to_string().contains('\n')),
             }
         }
