--- a/gateway/tests/program.rs
+++ b/gateway/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as a process: SIGTERM, reload at SIGHUP, the operator file and the command line.
+//! The program as a process: SIGTERM, reload on SIGHUP, the operator file and the command line.
 
 mod support;
 
@@ -44,9 +44,9 @@
     slow.send_query(&fields("adjust", 1500, None, "HANG 1")).await;
     until("the attempt is in flight", || test_bed.attempts("HANG 1") == 1).await;
     process.signal("-TERM");
-    let terminated = Instant::now();
+    let sigterm_at = Instant::now();
     // New sessions and their requests are served during the overlap that the platform announces.
-    while terminated.elapsed() < Duration::from_millis(500) {
+    while sigterm_at.elapsed() < Duration::from_millis(500) {
         let mut client = Client::connect(process.mysql).await;
         assert_eq!(client.query(&fields("lookup", 3000, None, "SELECT 1")).await.unwrap(), expected_rows());
     }
@@ -62,25 +62,25 @@
     let (server, answers) = discovery_server::start_server(list).await;
     let silent_server = tokio::net::UdpSocket::bind(ANY_PORT).await.unwrap();
     let config = configuration(&[a], Some(silent_server.local_addr().unwrap()));
-    let (mut process, file) = start(&config, None);
-    let list_changes = process.logged("endpoint list changed, ");
+    let (mut process, config_file) = start(&config, None);
+    let list_changes_before = process.logged("endpoint list changed, ");
     let mut open = Client::connect(process.mysql).await;
     let mut idle = Client::connect(process.mysql).await;
     open.send_query(&fields("adjust", 2500, None, "HANG 1")).await;
     until("the attempt is in flight", || test_bed.attempts("HANG 1") == 1).await;
-    // A truncated file and an invalid one change nothing.
+    // A truncated file and an invalid one leave the configuration unchanged.
     for (invalid, n) in
         [(r#"{"name": "n0", "listen"#, 1), (&configuration(&[a], None).replace("GiveUpUs", "X"), 2)]
     {
-        std::fs::write(&file, invalid).unwrap();
+        std::fs::write(&config_file, invalid).unwrap();
         process.signal("-HUP");
         until("the error is logged", || process.logged("the old one stays") == n).await;
     }
-    // Several reloads of a valid file: the list comes from the server that it names.
-    std::fs::write(&file, configuration(&[a], Some(server))).unwrap();
+    // After several reloads of a valid file, the list comes from the discovery server that it names.
+    std::fs::write(&config_file, configuration(&[a], Some(server))).unwrap();
     (0..3).for_each(|_| process.signal("-HUP"));
     until("the new server is polled", || *answers.lock().unwrap() > 1).await;
-    until("the list has changed", || process.logged("endpoint list changed, ") > list_changes).await;
+    until("the list has changed", || process.logged("endpoint list changed, ") > list_changes_before).await;
     for n in 0..4 {
         assert_eq!(
             idle.outcome(&fields("lookup", 3000, None, &format!("SELECT {n}"))).await,
@@ -88,9 +88,9 @@
         );
     }
     assert!(test_bed.attempts_at("b") > 0, "the engine of the new server got no request");
-    // A reload in the overlap ends neither the process nor its open requests.
+    // A reload during the overlap ends neither the process nor its open requests.
     process.signal("-TERM");
-    until("the process is closing", || process.logged("shutdown started") == 1).await;
+    until("the shutdown has started", || process.logged("shutdown started") == 1).await;
     let before = process.logged("configuration reloaded, name_server");
     process.signal("-HUP");
     until("the file was read", || process.logged("configuration reloaded, name_server") > before).await;
@@ -108,10 +108,10 @@
     let (mut process, _) = start(&configuration(&engines, None), Some(operator));
     let client = flight::Client::connect(process.flight.expect("Flight SQL is off")).await;
     assert_eq!(client.with_class("lookup", None).query("SELECT 1").await.unwrap(), expected_rows());
-    // MySQL clients reach the same engines.
+    // MySQL clients are served by the same engines.
     let mut other = Client::connect(process.mysql).await;
     assert_eq!(other.outcome(&fields("lookup", 3000, None, "SELECT 2")).await, Outcome::Served);
-    // A call in flight at SIGTERM is finished as well.
+    // A Flight SQL call that is in flight at SIGTERM is answered before the exit.
     let call = tokio::spawn(async move {
         flight::outcome(
             client.with_class("adjust", None).with_header("grpc-timeout", "1200m").query("HANG 1").await,
--- a/gateway/tests/shutdown.rs
+++ b/gateway/tests/shutdown.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::Instant;
 
-/// The platform kills the process so long after the longest deadline, which counts as 3 s where it is longer.
+/// Time from the longest request deadline, capped at 3 s, until the platform kills the process.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 
 fn ms(ms: u64) -> Duration {
@@ -19,18 +19,19 @@
 
 #[test]
 fn shutdown_deadlines_precede_the_kill() {
-    let terminated = Instant::now();
-    for (longest, counted) in [(0, 0), (200, 200), (2_000, 2_000), (3_000, 3_000), (16_000, 3_000)] {
-        let end = ShutdownDeadlines::new(terminated, ms(longest));
+    let sigterm_at = Instant::now();
+    for (longest_ms, capped_ms) in [(0, 0), (200, 200), (2_000, 2_000), (3_000, 3_000), (16_000, 3_000)] {
+        let deadlines = ShutdownDeadlines::new(sigterm_at, ms(longest_ms));
         assert!(
-            end.answer_by < end.exit_by && end.exit_by < terminated + ms(counted) + KILL_DELAY,
-            "{longest}"
+            deadlines.answer_by < deadlines.exit_by
+                && deadlines.exit_by < sigterm_at + ms(capped_ms) + KILL_DELAY,
+            "{longest_ms}"
         );
-        // A request of the overlap that keeps to its deadline is not cut short.
-        assert!(end.answer_by >= terminated + ms(counted) + ms(600), "{longest}");
+        // A request that arrives during the overlap and keeps its deadline is not cut short.
+        assert!(deadlines.answer_by >= sigterm_at + ms(capped_ms) + ms(600), "{longest_ms}");
         assert_eq!(
-            (Phase::ShuttingDown(end).deadlines(), Phase::Closing(end).deadlines()),
-            (Some(end), Some(end))
+            (Phase::ShuttingDown(deadlines).deadlines(), Phase::Closing(deadlines).deadlines()),
+            (Some(deadlines), Some(deadlines))
         );
     }
     assert_eq!(Phase::Serving.deadlines(), None);
@@ -43,17 +44,17 @@
     let (mut early, mut late) = (Client::connect(gateway.mysql).await, Client::connect(gateway.mysql).await);
     early.send_query(&fields("statement", 9000, None, "HANG 1")).await;
     until("the attempt is in flight", || test_bed.attempts("HANG 1") == 1).await;
-    // SIGTERM was three seconds ago: 600 ms are left.
-    let terminated = Instant::now() - ms(3_000);
-    gateway.begin_shutdown(terminated).await;
+    // SIGTERM was sent three seconds ago, so 600 ms are left for answers.
+    let sigterm_at = Instant::now() - ms(3_000);
+    gateway.begin_shutdown(sigterm_at).await;
     late.send_query(&fields("statement", 9000, None, "HANG 2")).await;
     until("the second attempt is in flight", || test_bed.attempts("HANG 2") == 1).await;
-    let closed = tokio::spawn(gateway.close(terminated));
+    let closed = tokio::spawn(gateway.close(sigterm_at));
     for client in [&mut early, &mut late] {
-        // The scheduler knows how little time the later request has, and may shed it earlier.
+        // The scheduler takes the short remaining time into account and may shed the later request before its deadline.
         let (code, text) = client.answer().await.unwrap_err();
         assert!([1203, 3024].contains(&code), "{code} {text}");
-        assert!(terminated.elapsed() < ms(3_000) + KILL_DELAY, "{:?}", terminated.elapsed());
+        assert!(sigterm_at.elapsed() < ms(3_000) + KILL_DELAY, "{:?}", sigterm_at.elapsed());
     }
     until("both attempts are cancelled", || {
         test_bed.was_cancelled("HANG 1") && test_bed.was_cancelled("HANG 2")
@@ -68,7 +69,7 @@
     let engines = [resp::start_engine("a", test_bed.clone()).await];
     let folder = folder();
     let mut settings = settings();
-    // Without progress reports a hung engine is not detected before the deadline.
+    // Progress reports are off, so that a hung engine is not detected before the deadline.
     settings["Specifics"]["ProgressUs"] = 0.into();
     let config = ProcessConfig { memory_mb: 192, sockets: 1024, settings, ..ProcessConfig::new(&engines) };
     std::fs::write(folder.join("config.json"), config.text()).unwrap();
@@ -76,25 +77,25 @@
     let mut hung = Client::connect(process.mysql).await;
     hung.send_query(&fields("statement", 9000, None, "HANG 1")).await;
     until("the attempt is in flight", || test_bed.attempts("HANG 1") == 1).await;
-    // It is idle until the gateway closes the connection, and does not close its side.
+    // This client stays idle and leaves it to the gateway to close the connection.
     let mut idle = Client::connect(process.mysql).await;
     assert_eq!(idle.outcome(&fields("lookup", 3000, None, "SELECT 1")).await, Outcome::Served);
     // One client never reads its answer; another never completes its request.
     let mut slow = Client::connect(process.mysql).await;
     slow.send_query(&fields("lookup", 3000, None, "SELECT 2")).await;
-    let mut half = Client::connect(process.mysql).await;
-    half.stream.write_all(&[40, 0, 0, 0, 3]).await.unwrap();
-    let terminated = Instant::now();
+    let mut incomplete = Client::connect(process.mysql).await;
+    incomplete.stream.write_all(&[40, 0, 0, 0, 3]).await.unwrap();
+    let sigterm_at = Instant::now();
     process.signal("-TERM");
-    // A client of the overlap is served; neither signal below ends the process at once.
+    // A client that connects during the overlap is served; a second SIGTERM and a SIGHUP do not end the process early.
     let mut late = Client::connect(process.mysql).await;
     process.signal("-TERM");
     process.signal("-HUP");
     assert_eq!(late.outcome(&fields("lookup", 3000, None, "SELECT 3")).await, Outcome::Served);
     assert_eq!(hung.answer().await.unwrap_err().0, 3024, "answered, not closed without an answer");
     assert_eq!(process.exit_code().await, Some(0));
-    assert!(terminated.elapsed() < ms(3_000) + KILL_DELAY, "{:?}", terminated.elapsed());
-    // The idle connection was closed, with no bytes after its last answer.
+    assert!(sigterm_at.elapsed() < ms(3_000) + KILL_DELAY, "{:?}", sigterm_at.elapsed());
+    // The idle connection was closed without further bytes after its last answer.
     let mut rest = Vec::new();
     assert_eq!(idle.stream.read_to_end(&mut rest).await.unwrap(), 0);
     assert_eq!(test_bed.attempts("SELECT 2"), 1);
