--- a/gateway/tests/operation/console.rs
+++ b/gateway/tests/operation/console.rs
@@ -1,4 +1,4 @@
-//! The console: one answer for each line, whatever else is connected, and the `call` command.
+//! The console: one answer to each line regardless of other connections, and the `call` command.
 
 use crate::shared_site::SharedSite;
 use crate::support::console::{call, metrics, send, succeeds, wait_for_metrics};
@@ -18,8 +18,8 @@
     let console = running.console.unwrap();
     assert_eq!(call(console, "HEALTH").await, "SUCCESS\n");
     assert_eq!(send(console, b"HEALTH\n").await.unwrap(), "SUCCESS\n");
-    let long = [b'A'; 400];
-    let bad: [&[u8]; 11] = [
+    let too_long = [b'A'; 400];
+    let invalid_lines: [&[u8]; 11] = [
         b"\n",
         b"  \r\n",
         b"health\n",
@@ -30,13 +30,13 @@
         b"ONLINE s-9\n",
         b"OFFLINE \xff\n",
         b"HEA\rLTH\n",
-        &long,
+        &too_long,
     ];
-    for line in bad {
+    for line in invalid_lines {
         let answer = send(console, line).await.unwrap();
         assert!(answer.starts_with("FAILURE ") && answer.matches('\n').count() == 1, "{line:?}: {answer:?}");
     }
-    // A line without its end may be the beginning of a longer one: it is not executed.
+    // An unterminated line may be the start of a longer one, so it is not executed.
     let mut truncated = TcpStream::connect(console).await.unwrap();
     truncated.write_all(b"OFFLINE s-0").await.unwrap();
     truncated.shutdown().await.unwrap();
@@ -60,17 +60,17 @@
             let started = Instant::now();
             assert!(succeeds(console, "HEALTH").await);
             let elapsed = started.elapsed();
-            assert!(elapsed < Duration::from_secs(1), "an operator waited {elapsed:?}");
+            assert!(elapsed < Duration::from_secs(1), "HEALTH was answered after {elapsed:?}");
         }
     }
-    let mut open = incomplete.len();
+    let mut open_connections = incomplete.len();
     let deadline = Instant::now() + Duration::from_secs(2);
-    while open > MAX_CONNECTIONS && Instant::now() < deadline {
+    while open_connections > MAX_CONNECTIONS && Instant::now() < deadline {
         tokio::time::sleep(Duration::from_millis(10)).await;
         let mut byte = [0; 1];
-        open = incomplete.iter().filter(|s| !matches!(s.try_read(&mut byte), Ok(0))).count();
+        open_connections = incomplete.iter().filter(|s| !matches!(s.try_read(&mut byte), Ok(0))).count();
     }
-    assert!(open <= MAX_CONNECTIONS, "{open} connections are open");
+    assert!(open_connections <= MAX_CONNECTIONS, "{open_connections} connections are open");
 }
 
 #[tokio::test]
@@ -98,7 +98,7 @@
     let mut answer = String::new();
     waiting.read_to_string(&mut answer).await.unwrap();
     assert_eq!(answer, "SUCCESS\n");
-    wait_for_metrics(console, "the engine in service", |f| f["members_unavailable"] == 0).await;
+    wait_for_metrics(console, "the engine in service", |m| m["members_unavailable"] == 0).await;
 }
 
 #[tokio::test]
@@ -114,13 +114,13 @@
     let success = (Some(0), "SUCCESS\n".to_owned());
     assert_eq!(call_command(&[&console, "HEALTH"]), success);
     assert_eq!(call_command(&[&console, "OFFLINE", "s-0"]), success);
-    wait_for_metrics(process.console(), "the engine out of service", |f| f["members_unavailable"] == 1).await;
+    wait_for_metrics(process.console(), "the engine out of service", |m| m["members_unavailable"] == 1).await;
     let (code, dump) = call_command(&[&console, "DUMP"]);
     assert!(code == Some(0) && dump.contains("svc.members:2|g\n") && dump.ends_with("EOT\n"), "{dump}");
     assert_eq!(call_command(&[&console, "ONLINE", "s-0"]), success);
     let (code, reason) = call_command(&[&console, "OFFLINE", "s-7"]);
     assert_eq!((code, reason.as_str()), (Some(1), "FAILURE no engine of this id was ever listed\n"));
-    // Nothing listens at the address, and no address at all.
+    // The command fails when nothing listens at the address, and when no address is given.
     drop(process);
     assert_eq!(call_command(&[&console, "HEALTH"]), (Some(1), String::new()));
     assert_eq!(call_command(&["HEALTH"]), (Some(1), String::new()));
--- a/gateway/tests/operation/hot_restart.rs
+++ b/gateway/tests/operation/hot_restart.rs
@@ -1,4 +1,4 @@
-//! Two and more processes at one address: hot restart, shared capacity, and the last process.
+//! Several processes at one address: hot restart, shared capacity, and shutdown of the last process.
 
 use crate::lookup;
 use crate::shared_site::{Load, SharedSite};
@@ -20,15 +20,15 @@
     let site = SharedSite::new(&resp_engines(&test_bed).await, 256);
     let mut old = site.start();
     let load = Load::start(site.listen);
-    load.serve_more(100).await;
+    load.wait_for_served(100).await;
     let new = site.start();
     assert!(succeeds(new.console(), "HEALTH").await && succeeds(old.console(), "HEALTH").await);
-    load.serve_more(100).await;
+    load.wait_for_served(100).await;
     old.signal("-TERM");
     assert_eq!(old.exit_code().await, Some(0));
-    load.serve_more(100).await;
-    let lost = load.end().await;
-    assert!(lost <= 2, "{lost} requests found no listener");
+    load.wait_for_served(100).await;
+    let unanswered = load.end().await;
+    assert!(unanswered <= 2, "{unanswered} requests got no answer");
     let metrics = metrics(new.console()).await;
     assert!(metrics["completed.lookup"] >= 100 && metrics["pending"] == 0, "{metrics:?}");
 }
@@ -42,14 +42,14 @@
     // The suspended process accepts nothing: new connections wait in its listener queue.
     old.signal("-STOP");
     let mut queued = Vec::new();
-    // Fewer than the unauthenticated connections that a closing process has slots for.
+    // Fewer than the slots that a closing process has for unauthenticated connections.
     for _ in 0..36 {
         queued.push(TcpStream::connect(site.listen).await.unwrap());
     }
     old.signal("-TERM");
     old.signal("-CONT");
     for (n, stream) in queued.into_iter().enumerate() {
-        let mut client = Client::login(stream, "app").await.expect("rejected at the close");
+        let mut client = Client::login(stream, "app").await.expect("rejected during the shutdown");
         assert_eq!(client.outcome(&lookup(n)).await, Outcome::Served);
     }
     assert_eq!(old.exit_code().await, Some(0));
@@ -64,9 +64,9 @@
     // The process serves this request until its deadline, past the overlap.
     let mut pending = Client::connect(site.listen).await;
     pending.send_query(&fields("lookup", 2000, None, "HANG on")).await;
-    wait_for_metrics(process.console(), "the pending request", |f| f["pending"] == 1).await;
+    wait_for_metrics(process.console(), "the pending request", |m| m["pending"] == 1).await;
     process.signal("-TERM");
-    until("the process is closing", || process.logged("shutdown started") > 0).await;
+    until("the shutdown has started", || process.logged("shutdown started") > 0).await;
     let mut late = Client::connect(site.listen).await;
     assert_eq!(late.outcome(&lookup(1)).await, Outcome::Served);
     drop(late);
@@ -90,16 +90,17 @@
     let site = SharedSite::new(&resp_engines(&test_bed).await, 256);
     let first = site.start();
     let mut more: Vec<_> = (0..2).map(|_| site.start()).collect();
-    until("the first process has a third", || first.logged("capacity_share: 0.3333") > 0).await;
+    until("the first process has a third of the capacity", || first.logged("capacity_share: 0.3333") > 0)
+        .await;
     assert!(succeeds(more[1].console(), "OFFLINE s-0").await);
-    wait_for_metrics(first.console(), "the override of the third process", |f| f["members_unavailable"] == 1)
+    wait_for_metrics(first.console(), "the override of the third process", |m| m["members_unavailable"] == 1)
         .await;
-    // There is a slot for a fourth process and none for a fifth, which counts itself as the only one.
+    // There is a slot for a fourth process but none for a fifth, which assumes that it is the only process.
     more.extend((0..2).map(|_| site.start()));
     assert_eq!(more[2].logged("no process slot free"), 0);
     assert_eq!(more[3].logged("no process slot free"), 1);
-    wait_for_metrics(more[3].console(), "the override in the excess process", |f| {
-        f["members_unavailable"] == 1
+    wait_for_metrics(more[3].console(), "the override in the excess process", |m| {
+        m["members_unavailable"] == 1
     })
     .await;
     drop(more);
@@ -115,14 +116,14 @@
     let mut unauthenticated = Vec::new();
     for n in 0..600 {
         let mut stream = TcpStream::connect(site.listen).await.unwrap();
-        // Some send half a login, the more nothing.
+        // Half of them send the start of a login packet, the others nothing.
         let _ = stream.write_all(if n % 2 == 0 { &[60, 0, 0, 1, 0x0d] } else { &[] }).await;
         unauthenticated.push(stream);
     }
-    load.serve_more(50).await;
+    load.wait_for_served(50).await;
     let new = site.start();
-    load.serve_more(50).await;
-    // Clients that send one request and then stay idle, at either process.
+    load.wait_for_served(50).await;
+    // Clients that send one request to either process and then stay idle.
     let mut idle = Vec::new();
     for n in 0..110 {
         if let Some(mut client) = Client::try_connect_as(site.listen, "app").await {
@@ -136,7 +137,7 @@
     let total = descriptors(&old) + descriptors(&new);
     assert!(total <= 128, "{total} descriptors in both processes");
     drop(old);
-    load.serve_more(50).await;
+    load.wait_for_served(50).await;
     // Only the requests of the killed process are lost.
     load.end().await;
     drop((unauthenticated, idle));
--- a/gateway/tests/operation/main.rs
+++ b/gateway/tests/operation/main.rs
@@ -22,7 +22,7 @@
     Config { console: Some(ANY_PORT.parse().unwrap()), ..config(engines) }
 }
 
-/// A lookup that every engine serves.
+/// The text of a lookup that every engine serves.
 fn lookup(n: usize) -> String {
     fields("lookup", 3000, None, &format!("SELECT {n}"))
 }
--- a/gateway/tests/operation/overrides.rs
+++ b/gateway/tests/operation/overrides.rs
@@ -19,7 +19,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Clients that repeat lookups until they are stopped, and how their requests ended.
+/// Clients that repeat lookups until they are stopped, and the outcomes of their requests.
 struct RepeatedLookups {
     stop: Arc<AtomicBool>,
     outcomes: Arc<Mutex<Vec<Outcome>>>,
@@ -34,11 +34,11 @@
             let (stop, outcomes) = (stop.clone(), outcomes.clone());
             tokio::spawn(async move {
                 let mut client = Client::connect(address).await;
-                for turn in 0.. {
+                for request_number in 0.. {
                     if stop.load(Ordering::Relaxed) {
                         return;
                     }
-                    let statement = format!("SELECT {n} {turn}");
+                    let statement = format!("SELECT {n} {request_number}");
                     let outcome = client.outcome(&fields("lookup", 5000, None, &statement)).await;
                     outcomes.lock().unwrap().push(outcome);
                 }
@@ -52,7 +52,7 @@
         self.outcomes.lock().unwrap().len()
     }
 
-    /// Stops the clients; the outcomes of all their requests.
+    /// Stops the clients; returns the outcomes of all their requests.
     async fn end(self) -> Vec<Outcome> {
         self.stop.store(true, Ordering::Relaxed);
         for client in self.clients {
@@ -62,12 +62,12 @@
     }
 }
 
-/// One engine is out of service.
+/// Whether exactly one engine is out of service.
 fn one_unavailable(metrics: &MetricValues) -> bool {
     metrics["members_unavailable"] == 1
 }
 
-/// All engines are in service.
+/// Whether all engines are in service.
 fn none_unavailable(metrics: &MetricValues) -> bool {
     metrics["members_unavailable"] == 0
 }
@@ -84,25 +84,25 @@
     let load = RepeatedLookups::start(running.mysql, 24);
     until("both engines are used", || test_bed.attempts_at("a") > 20 && test_bed.attempts_at("b") > 20).await;
     assert!(succeeds(console, "OFFLINE s-0").await);
-    let answered = tokio::time::Instant::now();
+    let answered_at = tokio::time::Instant::now();
     let count = load.count();
     until("requests are served meanwhile", || load.count() > count + 500).await;
-    // Some bytes were in transit when the answer was written; nothing was written after it.
-    let late = |test_bed: &TestBed| {
-        let script = test_bed.0.lock().unwrap();
-        let limit = answered + Duration::from_millis(50);
-        script.received.iter().filter(|a| a.engine == "a" && a.at > limit).count()
+    // Requests that were in transit when the console answered may arrive a little later; none is sent after the answer.
+    let late_attempts = |test_bed: &TestBed| {
+        let recorded = test_bed.0.lock().unwrap();
+        let limit = answered_at + Duration::from_millis(50);
+        recorded.received.iter().filter(|a| a.engine == "a" && a.at > limit).count()
     };
-    assert_eq!(late(&test_bed), 0, "sent to an engine that is out of service");
+    assert_eq!(late_attempts(&test_bed), 0, "sent to an engine that is out of service");
     assert!(succeeds(console, "OFFLINE s-0").await, "a repeated OFFLINE succeeds");
-    wait_for_metrics(console, "the engine out of service", |f| {
-        f["members"] == 2 && f["members_unavailable"] == 1
+    wait_for_metrics(console, "the engine out of service", |m| {
+        m["members"] == 2 && m["members_unavailable"] == 1
     })
     .await;
     assert!(succeeds(console, "ONLINE s-0").await, "one ONLINE reverts both");
-    until("the engine is used again", || late(&test_bed) > 0).await;
+    until("the engine is used again", || late_attempts(&test_bed) > 0).await;
     let outcomes = load.end().await;
-    assert!(outcomes.iter().all(|e| *e == Outcome::Served), "a request was lost to the override");
+    assert!(outcomes.iter().all(|o| *o == Outcome::Served), "a request failed because of the override");
 }
 
 #[tokio::test]
@@ -128,11 +128,11 @@
     ];
     for (serial, engines) in (3..).zip(updates) {
         let members = engines.len() as u64;
-        let answered = *answers.lock().unwrap();
+        let answers_before = *answers.lock().unwrap();
         *list.lock().unwrap() = (serial, engines);
-        until("the list was read", || *answers.lock().unwrap() > answered + 1).await;
-        wait_for_metrics(console, "the list", |f| {
-            f["members"] == members && f["members_unavailable"] == members - 1
+        until("the list was read", || *answers.lock().unwrap() > answers_before + 1).await;
+        wait_for_metrics(console, "the list", |m| {
+            m["members"] == members && m["members_unavailable"] == members - 1
         })
         .await;
         for n in 0..6 {
@@ -184,7 +184,7 @@
         assert_eq!(client.outcome(&lookup(n)).await, Outcome::Served);
     }
     assert_eq!(test_bed.attempts_at("b"), before);
-    // The override outlives either process, and the capacity share of the dead one is released.
+    // The override outlives both processes, and the capacity share of a killed process is released.
     drop(old);
     until("one process is left", || {
         new.logged("capacity_share: 1,") > 0 || new.logged("capacity_share: 1") > 0
--- a/gateway/tests/operation/shared_site.rs
+++ b/gateway/tests/operation/shared_site.rs
@@ -1,4 +1,4 @@
-//! A gateway of several processes that share a folder and the clients' address, and load on that address.
+//! A gateway of several processes that share a folder and the address for clients, and a load generator for it.
 
 use crate::lookup;
 use crate::support::mysql::Client;
@@ -10,20 +10,20 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Clients of a [`Load`].
+/// Number of clients of a [`Load`].
 const CLIENTS: usize = 12;
 
-/// A gateway whose processes share a folder and a clients' address.
+/// A gateway whose processes share a folder and the address for clients.
 pub struct SharedSite {
     folder: PathBuf,
     config: PathBuf,
     pub listen: SocketAddr,
-    /// Reserves the address; it never listens.
+    /// Keeps the address reserved; it never listens.
     _reserved: tokio::net::TcpSocket,
 }
 
 impl SharedSite {
-    /// A site with these engines and a limit on descriptors.
+    /// A gateway with these engines and this limit on file descriptors; no process is started yet.
     pub fn new(engines: &[SocketAddr], sockets: usize) -> Self {
         let reserved = tokio::net::TcpSocket::new_v4().unwrap();
         reserved.set_reuseport(true).unwrap();
@@ -47,7 +47,7 @@
     }
 }
 
-/// Load from clients that connect for each request, and from clients that reuse their connections.
+/// Load from clients that open a connection for each request and from clients that reuse their connection.
 pub struct Load {
     counters: Arc<LoadCounters>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
@@ -57,7 +57,7 @@
 struct LoadCounters {
     stop: AtomicBool,
     served: AtomicUsize,
-    lost: AtomicUsize,
+    unanswered: AtomicUsize,
 }
 
 impl Load {
@@ -70,25 +70,28 @@
     }
 
     /// Waits until this many more requests have been served.
-    pub async fn serve_more(&self, requests: usize) {
+    pub async fn wait_for_served(&self, requests: usize) {
         let before = self.counters.served.load(Ordering::Relaxed);
-        until("more is served", || self.counters.served.load(Ordering::Relaxed) > before + requests).await;
+        until("more requests are served", || {
+            self.counters.served.load(Ordering::Relaxed) > before + requests
+        })
+        .await;
     }
 
-    /// Ends the load; the requests that got no answer.
+    /// Stops the load; returns the number of requests that got no answer.
     pub async fn end(self) -> usize {
         self.counters.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
             task.await.unwrap();
         }
-        self.counters.lost.load(Ordering::Relaxed)
+        self.counters.unanswered.load(Ordering::Relaxed)
     }
 }
 
-/// One client: those with an even number reuse their connection.
+/// Runs one client; clients with an even number reuse their connection.
 async fn run_client(address: SocketAddr, number: usize, counters: Arc<LoadCounters>) {
     let (mut idle, reuses) = (None, number.is_multiple_of(2));
-    for turn in 0.. {
+    for request_number in 0.. {
         if counters.stop.load(Ordering::Relaxed) {
             return;
         }
@@ -97,18 +100,18 @@
             None => Client::try_connect_as(address, "app").await,
         };
         let Some(mut client) = client else {
-            counters.lost.fetch_add(1, Ordering::Relaxed);
+            counters.unanswered.fetch_add(1, Ordering::Relaxed);
             continue;
         };
-        match client.try_query(&lookup(number * 1_000_000 + turn)).await {
+        match client.try_query(&lookup(number * 1_000_000 + request_number)).await {
             Some(Ok(_)) => {
                 counters.served.fetch_add(1, Ordering::Relaxed);
             }
             Some(Err(error)) => panic!("rejected or failed: {error:?}"),
-            // A request that crosses the close of a reused connection may be retried on a new one.
-            None if reuses && turn > 0 => continue,
+            // A request sent while the gateway closes a reused connection may be retried on a new one.
+            None if reuses && request_number > 0 => continue,
             None => {
-                counters.lost.fetch_add(1, Ordering::Relaxed);
+                counters.unanswered.fetch_add(1, Ordering::Relaxed);
             }
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
