--- a/gateway/tests/shared_store/main.rs
+++ b/gateway/tests/shared_store/main.rs
@@ -1,5 +1,5 @@
-//! Requests with idempotency keys beside a shared Redis: one key through several gateways, zones, faults of the store
-//! and gateways that are killed midway.
+//! Requests with idempotency keys that gateways share through Redis: one key at several gateways, zones, store faults,
+//! and gateways that are killed while they serve a request.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -34,33 +34,33 @@
 }
 
 impl Fixture {
-    /// Engines that remember each other's keys.
+    /// Engines that share their record of keys.
     async fn start() -> Self {
         let (test_bed, redis) = (TestBed::default(), Redis::default());
         let (engines, store) = (resp_engines(&test_bed).await, redis.start().await);
         Self { test_bed, redis, engines, store }
     }
 
-    /// Engines that remember only the keys that they have seen themselves.
+    /// Engines that each record only the keys that they have received.
     async fn start_with_separate_engines() -> Self {
         let fixture = Self::start().await;
         fixture.test_bed.0.lock().unwrap().keys_per_engine = true;
         fixture
     }
 
-    /// A gateway with an engine in each of two zones. `scope` says which engines drop each other's repeats.
+    /// A gateway with an engine in each of two zones. `scope` says which engines deduplicate keys together.
     async fn gateway(&self, scope: &str) -> Running {
         self.gateway_at(self.store, scope).await
     }
 
-    /// The same with its store at this address.
+    /// The same gateway with the store at this address.
     async fn gateway_at(&self, store: SocketAddr, scope: &str) -> Running {
-        self.gateway_with(store, scope, options(), None).await
+        self.gateway_with(store, scope, store_options(), None).await
     }
 
-    /// A gateway that sends to one engine only, since the other drains.
+    /// A gateway that sends to one engine only, because the other one is draining.
     async fn gateway_with_draining(&self, scope: &str, engine: usize) -> Running {
-        self.gateway_with(self.store, scope, options(), Some(engine)).await
+        self.gateway_with(self.store, scope, store_options(), Some(engine)).await
     }
 
     async fn gateway_with(
@@ -70,7 +70,7 @@
         options: SharedStoreOptions,
         draining: Option<usize>,
     ) -> Running {
-        let (settings, mut known) = two_zones(&self.engines, scope);
+        let (settings, mut known) = two_zone_settings(&self.engines, scope);
         if let Some(engine) = draining {
             known["results"][0]["fleet"]["servers"][engine]["state"] = json!("draining");
         }
@@ -81,7 +81,7 @@
 
     /// The same gateway as a process, which can be killed. `credentials` is empty or ends with `@`.
     fn process(&self, credentials: &str, scope: &str) -> Process {
-        let (settings, known) = two_zones(&self.engines, scope);
+        let (settings, known) = two_zone_settings(&self.engines, scope);
         let folder = folder();
         let (file, operator) = (folder.join("config.json"), folder.join("operator.kdl"));
         let config = ProcessConfig { known, settings, ..ProcessConfig::new(&self.engines) };
@@ -92,19 +92,19 @@
         Process::start(&file, &folder, Some(&operator))
     }
 
-    /// Statements that had an effect on the engines.
+    /// Number of statements that took effect on the engines.
     fn effects(&self) -> usize {
         self.test_bed.0.lock().unwrap().effects.len()
     }
 
-    /// Attempts at each of the engines.
-    fn sends_by_engine(&self) -> [usize; 2] {
+    /// Number of attempts at each engine.
+    fn attempts_by_engine(&self) -> [usize; 2] {
         [self.test_bed.attempts_at("a"), self.test_bed.attempts_at("b")]
     }
 
-    /// Attempts at both engines.
-    fn sends(&self) -> usize {
-        self.sends_by_engine().iter().sum()
+    /// Number of attempts at both engines together.
+    fn attempts(&self) -> usize {
+        self.attempts_by_engine().iter().sum()
     }
 
     /// The state of a key in the store: `c` claimed, `s` sent, `d` done.
@@ -117,13 +117,13 @@
     }
 
     /// Waits until a key has this state.
-    async fn key_reaches(&self, key: &str, state: &str) {
+    async fn wait_for_key_state(&self, key: &str, state: &str) {
         until(&format!("the state of {key} is {state}"), || self.key_state(key).as_deref() == Some(state))
             .await;
     }
 
     /// Waits until this many gateways have registered in the store.
-    async fn store_is_used_by(&self, gateways: usize) {
+    async fn wait_for_registered_gateways(&self, gateways: usize) {
         until("the store is used", || {
             self.redis.save().keys().filter(|k| k.starts_with(b"reedwalk:1:count:")).count() >= gateways
         })
@@ -131,11 +131,11 @@
     }
 }
 
-/// Settings, and the list of the start, with a zone for each engine.
-fn two_zones(engines: &[SocketAddr; 2], scope: &str) -> (Json, Json) {
+/// Settings and the initial engine list, with a zone for each engine.
+fn two_zone_settings(engines: &[SocketAddr; 2], scope: &str) -> (Json, Json) {
     let mut settings = settings();
     settings["Localities"] = json!(["hall-a", "hall-b"]);
-    // Engines send no progress reports, so that a silent one is waited for.
+    // Progress reports are off, so that the gateway keeps waiting for a silent engine.
     settings["Specifics"]["ProgressUs"] = json!(0);
     settings["RequestClasses"][2]["DedupScope"] = json!(scope);
     let mut known = support::initial_endpoints(engines);
@@ -143,22 +143,22 @@
     (settings, known)
 }
 
-/// Long timeouts, so that a machine that stalls for a moment is not taken for a failing store.
-fn options() -> SharedStoreOptions {
+/// Long timeouts, so that a short stall of the machine is not mistaken for a store failure.
+fn store_options() -> SharedStoreOptions {
     SharedStoreOptions { share_keys: true, wait: Duration::from_millis(500), ..SharedStoreOptions::default() }
 }
 
-/// A request with this key.
-fn first(key: &str, statement: &str) -> String {
+/// A request with this idempotency key.
+fn keyed_request(key: &str, statement: &str) -> String {
     fields("batch-post", 2000, Some(key), statement)
 }
 
 /// The same request, marked as a client's retry.
-fn retry(key: &str, statement: &str) -> String {
-    first(key, statement).replacen(" */", ",redo=1 */", 1)
+fn keyed_retry(key: &str, statement: &str) -> String {
+    keyed_request(key, statement).replacen(" */", ",redo=1 */", 1)
 }
 
-/// How a request on a new session ended.
+/// The outcome of a request on a new session.
 async fn outcome(gateway: &Running, text: &str) -> Outcome {
     Client::connect(gateway.mysql).await.outcome(text).await
 }
