--- a/testkit/src/config.rs
+++ b/testkit/src/config.rs
@@ -3,8 +3,8 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Settings with four request classes (`lookup` and `statement` may run again, `batch-post` only with its idempotency key,
-/// `adjust` runs at most once) and short waits. Times under keys that end in `Us` are in microseconds.
+/// Settings with four request classes (`lookup` and `statement` are repeatable, `batch-post` only with its idempotency key,
+/// `adjust` runs at most once) and short timeouts. Times under keys that end in `Us` are in microseconds.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str, give_up_us: u64, value: f64| {
         json!({"Name": name, "Effect": effect, "DedupScope": "all", "MemorySpanUs": 12_000_000,
@@ -26,7 +26,8 @@
     })
 }
 
-/// The endpoint list that a gateway starts with: these engines under the ids `s-0`, `s-1` and so on, in service and warm.
+/// The endpoint list that a gateway starts with: these engines with the ids `s-0`, `s-1` and so on, in service and past
+/// their slow start.
 pub fn initial_endpoints(engines: &[SocketAddr]) -> Value {
     let endpoint = |(number, address): (usize, &SocketAddr)| {
         json!({"id": format!("s-{number}"), "addr": address.to_string(), "zone": "hall-a", "kind": "std-8c", "cell": 1,
--- a/testkit/src/console.rs
+++ b/testkit/src/console.rs
@@ -1,4 +1,4 @@
-//! A client of the operations console: one line, one answer, a connection each.
+//! A client of the operations console, which takes one command line and gives one answer per connection.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,14 +7,14 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep};
 
-/// Time that [`wait_for_metrics`] waits for its condition.
+/// Timeout of [`wait_for_metrics`].
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between two reads of the metrics.
 const CONDITION_INTERVAL: Duration = Duration::from_millis(10);
 /// The last line of a dump of the metrics.
 const END_OF_DUMP: &str = "EOT\n";
 
-/// Sends these bytes and reads until the other side closes; `None` where nothing listens or nothing is answered.
+/// Sends these bytes and reads until the peer closes; `None` if the connection fails or the answer is empty.
 pub async fn send(address: SocketAddr, bytes: &[u8]) -> Option<String> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(bytes).await.ok()?;
@@ -23,7 +23,7 @@
     (!answer.is_empty()).then_some(answer)
 }
 
-/// Sends one command, as the operators' tools do; returns the answer, empty where there is none.
+/// Sends one command, as the operators' tools do; returns the answer, empty if there is none.
 pub async fn call(address: SocketAddr, line: &str) -> String {
     send(address, format!("{line}\r\n").as_bytes()).await.unwrap_or_default()
 }
@@ -52,7 +52,7 @@
     matches!(kind, "c" | "g").then_some((name.to_owned(), value.parse().ok()?))
 }
 
-/// Reads the metrics again and again until `condition` holds; `description` names what is waited for.
+/// Polls the metrics until `condition` holds; `description` names the condition in the panic message.
 ///
 /// # Panics
 ///
--- a/testkit/src/discovery_server.rs
+++ b/testkit/src/discovery_server.rs
@@ -20,7 +20,7 @@
     pub address: SocketAddr,
     /// Whether it takes no new requests.
     pub draining: bool,
-    /// When it started, in milliseconds of the Unix clock.
+    /// When it started, in Unix time, in milliseconds.
     pub started_ms: u64,
 }
 
@@ -57,7 +57,7 @@
 /// runs.
 pub type EngineList = Arc<Mutex<(u32, Vec<ListedEngine>)>>;
 
-/// Bytes of the largest query that a discovery server reads.
+/// Maximum size of a query, in bytes.
 const MAX_QUERY_BYTES: usize = 600;
 
 /// A UDP socket on a free port of the loopback interface, and its address.
@@ -67,15 +67,15 @@
     (socket, address)
 }
 
-/// The encoded answer to an encoded query, with the list as it is now.
+/// The encoded answer to an encoded query, with the current list.
 fn encoded_answer(query: &[u8], list: &EngineList) -> Vec<u8> {
     let query = Message::from_vec(query).unwrap();
     let list = list.lock().unwrap();
     answer(query.metadata.id, list.0, &list.1).to_vec().unwrap()
 }
 
-/// Starts a discovery server that answers each query with the list as it is then. Returns its address, and the number of
-/// answers so far.
+/// Starts a discovery server that answers each query with the current list. Returns its address, and a counter of its
+/// answers.
 ///
 /// # Panics
 ///
@@ -95,7 +95,7 @@
     (address, answer_count)
 }
 
-/// Starts a discovery server that answers each query with the same list, `delay` after it came. Returns its address.
+/// Starts a discovery server that answers each query with the same list after `delay`. Returns its address.
 ///
 /// # Panics
 ///
@@ -118,8 +118,8 @@
     address
 }
 
-/// Starts a discovery server that answers its first client `max_answers` times and then never again; all others always. A
-/// client is an address with its port. Returns the server's address, and the number of queries that it left unanswered.
+/// Starts a discovery server that answers its first client only `max_answers` times, and all other clients always. A client
+/// is identified by its address and port. Returns the server's address, and a counter of the unanswered queries.
 ///
 /// # Panics
 ///
@@ -131,11 +131,11 @@
     tokio::spawn(async move {
         let mut buffer = [0; MAX_QUERY_BYTES];
         let mut first_client = None;
-        let mut queries_of_first = 0;
+        let mut first_client_queries = 0;
         while let Ok((size, client)) = socket.recv_from(&mut buffer).await {
             if *first_client.get_or_insert(client) == client {
-                queries_of_first += 1;
-                if queries_of_first > max_answers {
+                first_client_queries += 1;
+                if first_client_queries > max_answers {
                     *counter.lock().unwrap() += 1;
                     continue;
                 }
--- a/testkit/src/flight.rs
+++ b/testkit/src/flight.rs
@@ -1,4 +1,4 @@
-//! A scripted engine and a client on Arrow Flight SQL, written from its public description.
+//! A scripted engine and a client of Arrow Flight SQL, written from its public documentation.
 
 use crate::{Outcome, ScriptedResponse, TestBed, rows};
 use arrow_array::{Array, RecordBatch, StringArray};
@@ -27,7 +27,7 @@
 use tonic::{Code, Request, Response, Status};
 use tonic_types::StatusExt;
 
-/// Rows of one record batch.
+/// Number of rows in a record batch.
 const ROWS_PER_BATCH: usize = 200;
 /// Columns of the result.
 const COLUMNS: [&str; 3] = ["day", "count", "note"];
@@ -39,7 +39,7 @@
 struct Engine {
     name: &'static str,
     test_bed: TestBed,
-    /// Breaks the connection.
+    /// Closes the connection when notified.
     disconnect: Arc<Notify>,
 }
 
@@ -111,7 +111,7 @@
                 self.disconnect.notify_one();
                 std::future::pending().await
             }
-            // Responses that only RESP can give are served here.
+            // Responses that exist only on RESP serve the result here.
             _ => Ok(response),
         }
     }
@@ -144,7 +144,7 @@
         let is_cut = scripted == ScriptedResponse::CutResult;
         let sent = if is_cut { messages.len() / 2 } else { messages.len() };
         let disconnect = self.disconnect.clone();
-        // After the last message the connection breaks, or the stream ends.
+        // After the last message the connection is closed, or the stream ends.
         let end = async move {
             if is_cut {
                 disconnect.notify_one();
@@ -170,7 +170,7 @@
     }
 }
 
-/// A client directly on HTTP/2: tonic's own channel would answer a call's deadline itself.
+/// A client directly on HTTP/2, because tonic's own channel enforces a call's deadline on the client side.
 #[derive(Clone)]
 pub struct Client {
     sender: SendRequest<Body>,
@@ -310,7 +310,7 @@
         let data = FlightData { flight_descriptor: Some(descriptor), ..FlightData::default() };
         let call = self.request(stream::iter([data]));
         let mut body = self.service_client().do_put(call).await?.into_inner();
-        let result = body.message().await?.expect("no count");
+        let result = body.message().await?.expect("response without an update count");
         Ok(DoPutUpdateResult::decode(result.app_metadata).unwrap().record_count)
     }
 }
@@ -336,7 +336,8 @@
     let reason = details.error_info().map(|info| info.reason.clone()).unwrap_or_default();
     match status.code() {
         Code::ResourceExhausted => {
-            let reason = REASONS.into_iter().find(|known| *known == reason).expect("no reason");
+            let reason =
+                REASONS.into_iter().find(|known| *known == reason).expect("rejection without a known reason");
             let has_retry_delay = details.retry_info().is_some_and(|retry| retry.retry_delay.is_some());
             Outcome::Rejected(reason, has_retry_delay)
         }
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -1,9 +1,9 @@
-//! Test doubles of everything around a gateway, written from the public descriptions of each: engines on RESP and on Arrow
-//! Flight SQL, clients of MySQL and of Flight SQL, a discovery server, Redis; and a load generator. They follow a script and
-//! log what they received, and checkers read that log. They share no code with the program: a mistake made on both sides of a
-//! protocol would not be seen.
+//! Test doubles of the systems around a gateway, written from the public documentation of each: engines on RESP and on Arrow
+//! Flight SQL, clients of MySQL and of Flight SQL, a discovery server, Redis; and a load generator. The doubles follow a
+//! script and log what they receive, and checks run over that log. They share no code with the gateway, because tests would
+//! not detect a mistake that both sides of a protocol share.
 //!
-//! For tests and benchmarks only: an error in here panics, which is how a test learns that a peer broke the protocol.
+//! For tests and benchmarks only: errors panic, so that a test fails when a peer violates the protocol.
 //!
 //! A gateway in front of one scripted engine is tested like this:
 //!
--- a/testkit/src/load_generator.rs
+++ b/testkit/src/load_generator.rs
@@ -1,5 +1,6 @@
-//! An open-loop load of MySQL clients: arrivals are drawn in advance from a seed and never wait for an answer, and a request's
-//! latency counts from when it was to start, so that a stalled gateway is measured as slow.
+//! Open-loop load generator of MySQL clients. Arrivals are generated in advance from a seed and never wait for a response.
+//! Latency is measured from a request's intended start, so that a stalled gateway is measured as slow (no coordinated
+//! omission).
 
 mod session;
 
@@ -24,7 +25,7 @@
 pub struct RequestClass {
     /// Name of the class at the gateway.
     pub route: &'static str,
-    /// Its part of all arrivals, relative to the sum over the classes.
+    /// Its share of all arrivals, relative to the sum over the classes.
     pub share: f64,
     /// Median of the work, in milliseconds on one core.
     pub work_ms: f64,
@@ -38,18 +39,18 @@
     pub is_keyed: bool,
     /// Latency objective of a request without work, in milliseconds.
     pub objective_ms: f64,
-    /// How much the objective grows with the request's work, in milliseconds a millisecond of run time.
+    /// Growth of the objective with the request's work, in milliseconds per millisecond of run time.
     pub objective_stretch: f64,
     /// Priority weight of a request.
     pub weight: f64,
-    /// Part of the weight that an answer after the objective earns.
+    /// Fraction of the weight that a response after the objective earns.
     pub late_weight: f64,
 }
 
 /// A load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Requests a second, over all sessions.
+    /// Requests per second, over all sessions.
     pub rate: f64,
     /// Time over which requests arrive.
     pub duration: Duration,
@@ -76,11 +77,11 @@
     pub rejected: u64,
     /// Requests that ended in another error.
     pub failed: u64,
-    /// Requests without an answer: the connection ended, or the client's time was over.
+    /// Requests without a response: the connection ended, or the client timed out.
     pub lost: u64,
     /// Weight of all requests.
     pub offered_weight: f64,
-    /// Weight of the requests that were served; a late answer counts the late part of it.
+    /// Weight of the requests that were served; a late response counts only its class's late fraction.
     pub served_weight: f64,
 }
 
@@ -88,7 +89,7 @@
 const MAX_LATENCY_US: u64 = 120_000_000;
 /// Significant digits of a latency.
 const LATENCY_DIGITS: u8 = 3;
-/// Least offered weight, where the served one is divided by it.
+/// Lower bound of the offered weight; prevents division by zero.
 const MIN_WEIGHT: f64 = 1e-9;
 
 impl Default for LoadResult {
@@ -145,18 +146,18 @@
     }
 }
 
-/// One request, drawn in advance.
+/// One request, generated in advance.
 struct Arrival {
     /// When it arrives, counted from the start of the load.
     at: Duration,
     /// Index of its class in the plan.
     class: usize,
     work_ms: f64,
-    /// Random number that its trace id, key and schema are made of.
+    /// Random number from which its trace id, key and schema are derived.
     number: u64,
 }
 
-/// Spreads the seeds of the threads over the whole range (the golden ratio times two to the power of 64).
+/// Multiplier that decorrelates the seeds of the threads: 2^64 divided by the golden ratio (Fibonacci hashing).
 const SEED_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// All arrivals of one thread.
@@ -199,7 +200,7 @@
     ))
 }
 
-/// Time that a client waits beyond the timeout that it stated.
+/// Extra time that a client waits beyond its stated timeout.
 const CLIENT_GRACE: Duration = Duration::from_millis(500);
 
 /// What the sessions of one thread share.
@@ -216,7 +217,7 @@
 }
 
 impl ThreadState {
-    /// Counts an arrival, and gives it to an idle session or lets it wait for one.
+    /// Counts an arrival, and assigns it to an idle session or queues it until one is free.
     fn offer(&mut self, arrival: Arrival) {
         self.result.offered += 1;
         self.result.offered_weight += self.plan.classes[arrival.class].weight;
@@ -226,7 +227,7 @@
         }
     }
 
-    /// No more arrivals come: idle sessions end.
+    /// Marks the end of the arrivals: idle sessions end.
     fn end(&mut self) {
         self.has_ended = true;
         self.idle.clear();
@@ -276,7 +277,7 @@
     }
 }
 
-/// The packet of a request, when it was to start, and when its client stops waiting.
+/// The packet of a request, its intended start, and its client's deadline.
 fn prepare(state: &ThreadState, arrival: &Arrival) -> (Vec<u8>, Instant, Instant) {
     let class = &state.plan.classes[arrival.class];
     let deadline = Instant::now() + Duration::from_millis(class.timeout_ms) + CLIENT_GRACE;
@@ -297,7 +298,7 @@
         result: LoadResult::default(),
     }));
     let local = LocalSet::new();
-    // They open one after the other in the first half of the time before the start.
+    // The connections are opened one after the other during the first half of the lead time.
     let now = Instant::now();
     let gap = start.saturating_duration_since(now) / 2 / session_count;
     let spawn = |number| local.spawn_local(run_session(state.clone(), now + gap * number));
@@ -317,8 +318,8 @@
     std::mem::take(&mut state.borrow_mut().result)
 }
 
-/// Runs a load against gateways, and waits until its last request has ended. The generator's threads are spread over the
-/// addresses. It starts `lead` from now, so that all sessions are open by then.
+/// Runs a load against gateways, and waits until its last request has ended. The generator's threads are distributed over
+/// the addresses. The load starts after `lead`, so that all sessions are open by then.
 ///
 /// # Panics
 ///
--- a/testkit/src/load_generator/session.rs
+++ b/testkit/src/load_generator/session.rs
@@ -1,4 +1,4 @@
-//! A session of the load generator: a MySQL connection that reads no more of an answer than its outcome.
+//! A session of the load generator: a MySQL connection that determines the outcome of a response without decoding it.
 
 use crate::mysql::{login_packet, packet};
 use bytes::{Buf, BytesMut};
@@ -9,13 +9,13 @@
 /// How a request ended on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole result came.
+    /// The whole result was received.
     Served,
     /// It was rejected before it ran.
     Rejected,
     /// It ended in another error.
     Failed,
-    /// No answer came: the connection ended, or the client's time was over.
+    /// No response was received: the connection ended, or the client timed out.
     Lost,
 }
 
@@ -26,13 +26,13 @@
     Open,
     /// The gateway has closed it.
     Closed,
-    /// Bytes came that answer no request, such as a second answer.
+    /// Bytes were received that belong to no request, such as a duplicate response.
     Unsolicited,
 }
 
-/// Bytes of the input buffer at first.
+/// Initial capacity of the input buffer, in bytes.
 const INITIAL_BUFFER_BYTES: usize = 4096;
-/// Bytes of a packet's header: the payload's length in three of them, and a sequence number.
+/// Size of a packet's header: three bytes of payload length and one of sequence number.
 const HEADER_BYTES: usize = 4;
 /// The payload of a ping.
 const COM_PING: &[u8] = &[14];
@@ -51,8 +51,8 @@
 }
 
 impl Session {
-    /// Connects, logs in and sends a ping; `None` where that fails. A session that has sent no command yet may be closed by
-    /// the gateway in favour of another, hence the ping.
+    /// Connects, logs in and sends a ping; `None` if that fails. The ping is needed because the gateway may close a session
+    /// that has sent no command yet in favour of another.
     pub async fn open(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(address).await.ok()?;
         stream.set_nodelay(true).ok()?;
@@ -133,7 +133,7 @@
     }
 }
 
-/// The outcome of an error: 1040, 1203 and 1226 say that the request was rejected before it ran.
+/// The outcome of an error: 1040, 1203 and 1226 mean that the request was rejected before it ran.
 fn error_outcome(code: u16) -> RequestOutcome {
     match code {
         1040 | 1203 | 1226 => RequestOutcome::Rejected,
--- a/testkit/src/model.rs
+++ b/testkit/src/model.rs
@@ -1,5 +1,5 @@
-//! A small model of an engine's cores: queries share them; an engine that has just started has less capacity and fails when it
-//! is sent too much. Pure: time comes in as seconds since the engine's start.
+//! A processor-sharing model of an engine's cores. An engine in slow start has reduced capacity and fails under overload.
+//! The model performs no I/O and reads no clock: the caller passes the time, in seconds since the model's start.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,36 +8,36 @@
 pub struct RampShape {
     /// Share of its full capacity that it has at its start.
     pub initial_share: f64,
-    /// Seconds until it has all of its capacity; it grows linearly.
+    /// Seconds until it reaches full capacity; the capacity grows linearly.
     pub ramp_s: f64,
 }
 
 /// When an engine that has not reached its full capacity fails under overload.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadRule {
-    /// It fails when the work that it received in a window exceeds this multiple of what its present capacity does in
+    /// It fails when the work that it received in a window exceeds this multiple of what its current capacity completes in
     /// that time.
     pub multiple: f64,
     /// Length of the window in seconds.
     pub window_s: f64,
-    /// Seconds that it rejects everything after it failed.
+    /// Seconds after a failure during which it rejects all queries.
     pub outage_s: f64,
 }
 
-/// What an engine is like.
+/// Capacity and limits of a modelled engine.
 #[derive(Clone, Debug)]
 pub struct Shape {
     /// Threads that run at full speed at the same time.
     pub cores: f64,
     /// How many times slower than normal it works.
     pub slowdown: f64,
-    /// Its ramp after the start; `None` if it has all of its capacity at once.
+    /// Its ramp after the start; `None` if it has full capacity at once.
     pub slow_start: Option<RampShape>,
-    /// When it starts, in seconds of the model's time: the ramp counts from then.
+    /// When it starts, in seconds of the model's time; the ramp begins then.
     pub starts_at_s: f64,
-    /// When it fails during the ramp.
+    /// Overload that makes it fail during the ramp.
     pub overload: OverloadRule,
-    /// Queries that run at the same time at most; beyond them it is full.
+    /// Maximum number of concurrent queries; more are rejected.
     pub max_queries: usize,
 }
 
@@ -54,10 +54,10 @@
     }
 }
 
-/// What became of a query that arrived.
+/// The outcome of admitting a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs.
+    /// It is running.
     Running,
     /// The engine is full, or rejects everything after it failed.
     Full,
@@ -87,17 +87,17 @@
     now_s: f64,
     running: BTreeMap<u64, RunningQuery>,
     arrivals: VecDeque<Arrival>,
-    /// Everything is rejected before this instant.
+    /// All queries are rejected before this time.
     down_until_s: f64,
 }
 
-/// Steps in which the growing capacity of an engine is followed, in seconds.
+/// Time step at which the growing capacity of an engine is recomputed, in seconds.
 const RAMP_STEP_S: f64 = 0.02;
-/// Work, in seconds, below which a query has ended: more than the rounding errors, less than any query's work.
-const COMPLETED_S: f64 = 1e-7;
-/// Least work of a query, and least time between two steps of the caller's clock, in seconds.
+/// Remaining work, in seconds, at which a query counts as completed: above rounding errors, below any query's work.
+const COMPLETED_WORK_S: f64 = 1e-7;
+/// Minimum work of a query, and minimum time between two calls of [`Model::advance`], in seconds.
 const MIN_STEP_S: f64 = 1e-6;
-/// Stands for no threads where a share of the cores is divided by their number.
+/// Lower bound of the number of threads; prevents division by zero.
 const MIN_THREADS: f64 = 1e-9;
 
 impl Model {
@@ -126,13 +126,13 @@
         self.running.values().map(|query| query.threads).sum()
     }
 
-    /// Work that one thread does a second.
+    /// Work that one thread completes per second.
     fn thread_rate(&self) -> f64 {
         let share_of_core = (self.shape.cores / self.threads().max(MIN_THREADS)).min(1.0);
         share_of_core * self.capacity_share(self.now_s) / self.shape.slowdown
     }
 
-    /// Seconds until the first query ends, at the present rate; `None` if none runs.
+    /// Seconds until the first query ends, at the current rate; `None` if none runs.
     fn first_completion_s(&self) -> Option<f64> {
         let rate = self.thread_rate();
         let time_left = |query: &RunningQuery| query.remaining_s / (query.threads * rate);
@@ -157,7 +157,7 @@
     }
 
     fn remove_completed(&mut self) -> Vec<u64> {
-        let is_completed = |query: &RunningQuery| query.remaining_s <= COMPLETED_S;
+        let is_completed = |query: &RunningQuery| query.remaining_s <= COMPLETED_WORK_S;
         let completed: Vec<_> =
             self.running.iter().filter(|(_, query)| is_completed(query)).map(|(id, _)| *id).collect();
         for id in &completed {
@@ -173,7 +173,7 @@
         Some(step.max(MIN_STEP_S))
     }
 
-    /// A query arrives: its work in seconds on one core, and its threads. Time has been advanced to now.
+    /// Admits a query of this work, in seconds on one core, and number of threads. The caller has advanced the model to now.
     pub fn admit(&mut self, id: u64, work_s: f64, threads: f64) -> Admission {
         if self.now_s < self.down_until_s || self.running.len() >= self.shape.max_queries {
             return Admission::Full;
@@ -202,7 +202,7 @@
         self.arrivals.clear();
     }
 
-    /// From now on it works this many times slower than normal.
+    /// Sets how many times slower than normal it works from now on.
     pub fn set_slowdown(&mut self, slowdown: f64) {
         self.shape.slowdown = slowdown;
     }
--- a/testkit/src/mysql.rs
+++ b/testkit/src/mysql.rs
@@ -1,4 +1,4 @@
-//! A client of the MySQL protocol, written from its public description.
+//! A client of the MySQL protocol, written from its public documentation.
 
 use crate::Outcome;
 use std::net::SocketAddr;
@@ -15,8 +15,8 @@
 const OK: u8 = 0;
 /// First byte of an error packet.
 const ERROR: u8 = 0xff;
-/// Bytes before the text of an error packet: its first byte, the code, and the SQL state with its marker.
-const ERROR_TEXT_AT: usize = 9;
+/// Offset of the text in an error packet, after its first byte, the code, and the SQL state with its marker.
+const ERROR_TEXT_OFFSET: usize = 9;
 /// First byte of an EOF packet, which has five bytes.
 const EOF: u8 = 0xfe;
 const EOF_BYTES: usize = 5;
@@ -67,7 +67,8 @@
     packet(0, &[&[COM_QUERY], text.as_bytes()].concat())
 }
 
-/// A statement after its fields comment: class, a new trace id, timeout in milliseconds, and idempotency key if there is one.
+/// A statement preceded by its fields comment: class, a new trace id, timeout in milliseconds, and idempotency key if
+/// there is one.
 pub fn fields(class: &str, timeout_ms: u64, key: Option<&str>, statement: &str) -> String {
     let trace = NEXT_TRACE.fetch_add(1, Ordering::Relaxed);
     let key = key.map_or(String::new(), |key| format!(",nonce={key}"));
@@ -100,7 +101,7 @@
 
     /// Logs in as this user on an open connection; `None` if the login is rejected.
     pub async fn login(mut stream: TcpStream, user: &str) -> Option<Self> {
-        // Before the greeting is read, as the protocol allows.
+        // Sent before the greeting is read, as the protocol allows.
         stream.write_all(&login_packet_for(user)).await.ok()?;
         let mut client = Self { stream, id: 0 };
         let greeting = client.read().await?;
@@ -124,14 +125,14 @@
     ///
     /// # Errors
     ///
-    /// The code and text of an error that the gateway answered.
+    /// The code and text of an error that the gateway answered with.
     ///
     /// # Panics
     ///
     /// If the connection ends before the answer is complete, or the answer cannot be parsed.
     pub async fn answer(&mut self) -> QueryResult {
         let first = self.read().await.expect("no answer");
-        self.rest_of_answer(first).await
+        self.read_remaining_packets(first).await
     }
 
     /// Sends a query and reads its answer; `None` if the connection ends before an answer begins.
@@ -142,16 +143,16 @@
     pub async fn try_query(&mut self, text: &str) -> Option<QueryResult> {
         self.stream.write_all(&query_packet(text)).await.ok()?;
         let first = self.read().await?;
-        Some(self.rest_of_answer(first).await)
+        Some(self.read_remaining_packets(first).await)
     }
 
-    /// Reads the rest of an answer whose first packet is this.
-    async fn rest_of_answer(&mut self, first: Vec<u8>) -> QueryResult {
+    /// Reads the rest of an answer after its first packet.
+    async fn read_remaining_packets(&mut self, first: Vec<u8>) -> QueryResult {
         match first[0] {
             OK => return Ok(Vec::new()),
             ERROR => {
                 let code = u16::from_le_bytes([first[1], first[2]]);
-                return Err((code, String::from_utf8_lossy(&first[ERROR_TEXT_AT..]).into_owned()));
+                return Err((code, String::from_utf8_lossy(&first[ERROR_TEXT_OFFSET..]).into_owned()));
             }
             _ => {}
         }
@@ -183,7 +184,7 @@
     ///
     /// # Errors
     ///
-    /// The code and text of an error that the gateway answered.
+    /// The code and text of an error that the gateway answered with.
     ///
     /// # Panics
     ///
@@ -211,7 +212,7 @@
     }
 }
 
-/// Why a request was rejected, by the code and text of its error.
+/// The reason of a rejection, from the code and text of its error.
 fn rejection_reason(code: u16, text: &str) -> &'static str {
     match code {
         1040 => "SHED",
@@ -221,7 +222,7 @@
     }
 }
 
-/// The cells of a row, each shorter than 251 bytes.
+/// The values of a row, each shorter than 251 bytes (a one-byte length prefix).
 fn cells(row: &[u8]) -> Vec<String> {
     let mut cells = Vec::new();
     let mut at = 0;
--- a/testkit/src/redis.rs
+++ b/testkit/src/redis.rs
@@ -1,6 +1,6 @@
-//! A test double of Redis, written from its public protocol (RESP2) and command pages: strings, hashes, expiry,
-//! MULTI/EXEC. It can be made to fail in each way that a shared store does, its contents can be saved and old ones
-//! restored, and it logs the commands that it receives.
+//! A test double of Redis, written from its public documentation of the protocol (RESP2) and commands: strings, hashes,
+//! expiry, MULTI/EXEC. It injects the faults of a shared store, saves and restores its contents (to simulate data loss),
+//! and logs the commands that it receives.
 
 mod commands;
 mod reply;
@@ -22,18 +22,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What goes wrong with a command.
+/// A fault that is injected into a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Received and not applied; no reply ever comes on this connection.
+    /// Received and not applied; no reply is ever sent on this connection.
     Frozen,
-    /// Applied; half of the reply comes, then nothing.
+    /// Applied; half of the reply is sent, then nothing.
     FrozenMidway,
     /// The connection breaks; nothing was applied.
     DropBefore,
     /// Applied; the connection breaks before the reply.
     DropAfter,
-    /// Applied, and answered after this time.
+    /// Applied; the reply is sent after this delay.
     Slow(Duration),
     /// Not applied; this error is the reply, such as `LOADING ...` or `READONLY ...`.
     Error(&'static str),
@@ -41,7 +41,7 @@
     Garbage,
 }
 
-/// A command that the double has received. A transaction counts as one, its `EXEC`.
+/// A command that the test double has received. A transaction counts as one, its `EXEC`.
 #[derive(Clone, Debug)]
 pub struct ReceivedCommand {
     /// When it arrived.
@@ -50,9 +50,9 @@
     pub words: Vec<String>,
 }
 
-/// A fault of all commands that have a word.
+/// A fault of all commands that contain a word.
 #[derive(Debug)]
-struct WordFault {
+struct KeywordFault {
     word: String,
     fault: Fault,
 }
@@ -64,19 +64,19 @@
     next_faults: VecDeque<Option<Fault>>,
     /// Fault of all commands after those.
     lasting_fault: Option<Fault>,
-    /// Fault of commands that have a word; it takes precedence.
-    word_fault: Option<WordFault>,
-    /// Connections must log in with it before anything else.
+    /// Fault of the commands that contain a word; it takes precedence.
+    keyword_fault: Option<KeywordFault>,
+    /// Password that new connections must authenticate with first.
     password: Option<String>,
     commands: Vec<ReceivedCommand>,
 }
 
 impl State {
-    /// Logs a command, and returns the fault that it meets.
+    /// Logs a command, and returns the fault to inject.
     fn receive(&mut self, words: &[Bytes]) -> Option<Fault> {
         let text = words.iter().map(|word| String::from_utf8_lossy(word).into_owned()).collect();
         self.commands.push(ReceivedCommand { at: Instant::now(), words: text });
-        if let Some(WordFault { word, fault }) = &self.word_fault
+        if let Some(KeywordFault { word, fault }) = &self.keyword_fault
             && words.iter().any(|received| received == word.as_bytes())
         {
             return Some(*fault);
@@ -85,7 +85,7 @@
     }
 }
 
-/// The double; clones share one store. Its methods panic if a holder of the state has panicked.
+/// The test double; clones share one store. Its methods panic if a holder of the state has panicked.
 #[derive(Clone, Debug, Default)]
 pub struct Redis(Arc<Mutex<State>>);
 
@@ -115,37 +115,37 @@
         self.0.lock().unwrap()
     }
 
-    /// From now on all commands meet this fault; `None` ends it.
+    /// Injects this fault into all commands from now on; `None` ends it.
     pub fn set_fault(&self, fault: Option<Fault>) {
         self.state().lasting_fault = fault;
     }
 
-    /// From now on all commands that have this word meet this fault.
+    /// Injects this fault into all commands that contain this word from now on.
     pub fn set_fault_for(&self, word: &str, fault: Fault) {
-        self.state().word_fault = Some(WordFault { word: word.to_owned(), fault });
+        self.state().keyword_fault = Some(KeywordFault { word: word.to_owned(), fault });
     }
 
-    /// The next commands meet these faults, one each; `None` is no fault.
+    /// Injects these faults into the next commands, one each; `None` is no fault.
     pub fn queue_faults(&self, faults: impl IntoIterator<Item = Option<Fault>>) {
         self.state().next_faults.extend(faults);
     }
 
-    /// New connections must log in with this password from now on.
+    /// Requires this password from new connections from now on.
     pub fn require_password(&self, password: &str) {
         self.state().password = Some(password.to_owned());
     }
 
-    /// Its contents as they are, to be restored later.
+    /// Returns a copy of its contents, to be restored later.
     pub fn save(&self) -> Contents {
         self.state().store.contents.clone()
     }
 
-    /// Replaces its contents, for example by old ones.
+    /// Replaces its contents, for example with an earlier copy.
     pub fn restore(&self, contents: Contents) {
         self.state().store.contents = contents;
     }
 
-    /// Removes this number of keys, drawn from a seed.
+    /// Removes this number of keys, chosen at random from a seed.
     pub fn evict(&self, key_count: usize, seed: u64) {
         let mut state = self.state();
         let mut rng = StdRng::seed_from_u64(seed);
@@ -184,7 +184,7 @@
         }
     }
 
-    /// The reply to a connection's command before it has logged in.
+    /// The reply to a command of a connection that has not authenticated yet.
     fn login(&self, words: &[Bytes]) -> &'static str {
         let is_auth = words[0].eq_ignore_ascii_case(b"AUTH");
         let password = words.last().map(|word| &word[..]);
@@ -197,8 +197,8 @@
         }
     }
 
-    /// Executes a command, or the transaction that is queued, with the fault that it meets. Returns its reply; `None`
-    /// where the connection breaks.
+    /// Executes a command, or the queued transaction, with the fault to inject. Returns its reply; `None` if the connection
+    /// is to be closed.
     async fn execute(
         &self,
         words: &[Bytes],
@@ -234,8 +234,8 @@
     }
 }
 
-/// Queues the commands of a transaction, which meets its fault as a whole at its EXEC. Returns the reply to a command that
-/// is queued or begins a transaction.
+/// Queues the commands of a transaction; a fault is injected into the transaction as a whole, at its EXEC. Returns the
+/// reply to a command that is queued or begins a transaction.
 fn queue(transaction: &mut Transaction, words: &[Bytes]) -> Option<&'static str> {
     match (&words[0].to_ascii_uppercase()[..], transaction) {
         (b"MULTI", transaction) => {
--- a/testkit/src/redis/commands.rs
+++ b/testkit/src/redis/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of the double: what each does to the contents, and its reply.
+//! The commands of the test double: the change that each makes to the stored keys, and its reply.
 
 use super::reply::{NOT_AN_INTEGER, OK, WRONG_TYPE, array, bulk, error, integer};
 use super::store::{Entry, Store, Value, unix_ms};
@@ -92,7 +92,7 @@
         integer(1)
     }
 
-    /// PTTL: -2 where there is no such key, -1 where it does not expire.
+    /// `PTTL`: -2 if the key does not exist, -1 if it has no expiry.
     fn remaining_ttl(&self, key: &[u8], now_ms: u64) -> Vec<u8> {
         integer(match self.contents.get(key) {
             None => -2,
--- a/testkit/src/redis/reply.rs
+++ b/testkit/src/redis/reply.rs
@@ -1,8 +1,8 @@
-//! Replies of RESP2, encoded.
+//! Encoders of RESP2 replies.
 
 /// The reply to a command that was executed.
 pub(super) const OK: &str = "+OK\r\n";
-/// The reply to a command that does not fit the kind of its key's value.
+/// The reply to a command that does not support the type of its key's value.
 pub(super) const WRONG_TYPE: &str = "-WRONGTYPE Operation against a key holding the wrong kind of value\r\n";
 /// The reply to a command whose argument or value is not an integer.
 pub(super) const NOT_AN_INTEGER: &str = "-ERR value is not an integer or out of range\r\n";
--- a/testkit/src/redis/scripts.rs
+++ b/testkit/src/redis/scripts.rs
@@ -1,11 +1,11 @@
-//! The program's scripts, which the double runs by their digests: what each does is written here again, after the comments
-//! in it.
+//! The gateway's Lua scripts, which the test double runs by their digests. Each is reimplemented here in Rust, from the
+//! comments in the script.
 
 use super::reply::{array, bulk, error, integer};
 use super::store::{Entry, Store, Value};
 use bytes::Bytes;
 
-/// A script that the double knows.
+/// A script that the test double supports.
 #[derive(Clone, Copy)]
 enum Script {
     Claim,
@@ -24,9 +24,9 @@
 
 /// Field of a record that names its stage.
 const STAGE: &str = "s";
-/// Field of a record that names its holder; empty where there is none.
+/// Field of a record that names its holder; empty if it has none.
 const HOLDER: &str = "h";
-/// Field of a record that has its value.
+/// Field of a record that contains its value.
 const VALUE: &str = "v";
 /// Stage of a record that is complete.
 const STAGE_DONE: &[u8] = b"d";
@@ -43,7 +43,7 @@
 }
 
 impl Store {
-    /// `SCRIPT LOAD`: the digest of a script that the double knows.
+    /// `SCRIPT LOAD`: returns the digest of a supported script.
     pub(super) fn load_script(&mut self, text: &[u8]) -> Vec<u8> {
         let known = SCRIPTS.iter().find(|(_, _, first_line)| text.starts_with(first_line.as_bytes()));
         let Some((_, digest, _)) = known else {
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Claims a record that nobody works on. Keys: the record, its lease, a heartbeat counter. Arguments: the holder, the lease and
-    /// the lifetime in milliseconds, the lifetime of a record that was sent, the stage of a new record.
+    /// Claims a record that has no current holder. Keys: the record, its lease, a heartbeat counter. Arguments: the
+    /// holder, the lease and the lifetime in milliseconds, the lifetime of a record that was sent, the stage of a new record.
     fn claim(&mut self, keys: &[Bytes], arguments: &[Bytes], now_ms: u64) -> Vec<u8> {
         let [stage, holder, value] = [STAGE, HOLDER, VALUE].map(|field| self.field(&keys[0], field));
         let lease_expires_ms = self.contents.get(&keys[1][..]).and_then(|entry| entry.expires_ms);
@@ -115,7 +115,7 @@
         array(reply)
     }
 
-    /// Enters the holder of a record whose stage was this, and takes its lease.
+    /// Sets the holder of a record whose previous stage is `stage`, and acquires its lease.
     fn hold(&mut self, stage: Option<&[u8]>, keys: &[Bytes], arguments: &[Bytes], now_ms: u64) {
         let next_stage = match stage {
             None => arguments[4].to_vec(),
@@ -130,14 +130,14 @@
         self.lease(keys, arguments, now_ms);
     }
 
-    /// Takes or renews the lease: the second key, with the holder and the time of the first two arguments.
+    /// Acquires or renews the lease, which is the second key. The first two arguments are its holder and duration.
     fn lease(&mut self, keys: &[Bytes], arguments: &[Bytes], now_ms: u64) {
         let expires_ms = now_ms + unsigned(&arguments[1]);
         self.contents.insert(keys[1].to_vec(), Entry::text(arguments[0].to_vec(), Some(expires_ms)));
     }
 
-    /// Writes as the record's holder. Keys: the record, its lease. Arguments: the holder, stage and value (empty where they
-    /// stay), lifetime in milliseconds (0 where it stays), and `1` to release the record.
+    /// Writes as the record's holder. Keys: the record, its lease. Arguments: the holder, stage and value (empty if
+    /// unchanged), lifetime in milliseconds (0 if unchanged), and `1` to release the record.
     fn write(&mut self, keys: &[Bytes], arguments: &[Bytes], now_ms: u64) -> Vec<u8> {
         if self.field(&keys[0], HOLDER).as_deref() != Some(&arguments[0][..]) {
             return integer(0);
@@ -158,8 +158,8 @@
         integer(1)
     }
 
-    /// Leases units of a quota: as many of the wanted as are left. Key: the units that are spent. Arguments: the wanted
-    /// units, the budget, and when the key expires in milliseconds of the Unix clock.
+    /// Leases up to the requested number of units of a quota. Key: the units that are spent. Arguments: the requested units,
+    /// the budget, and the key's expiry in Unix time, in milliseconds.
     fn lease_quota(&mut self, keys: &[Bytes], arguments: &[Bytes]) -> Vec<u8> {
         let spent = match self.value(&keys[0]) {
             Some(Value::Text(text)) => unsigned(text),
--- a/testkit/src/redis/store.rs
+++ b/testkit/src/redis/store.rs
@@ -1,9 +1,9 @@
-//! What the double stores: keys with their values and expiry, and the scripts that were loaded.
+//! Storage of the test double: keys with their values and expiry times, and the scripts that were loaded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What a key holds.
+/// The value of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Value {
     /// A string.
@@ -15,9 +15,9 @@
 /// A key's value, and when it expires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// What the key holds.
+    /// The value of the key.
     pub value: Value,
-    /// When it expires, in milliseconds of the Unix clock; `None` is never.
+    /// Expiry in Unix time, in milliseconds; `None` if it never expires.
     pub expires_ms: Option<u64>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Store {
-    /// Removes what has expired.
+    /// Removes the expired keys.
     pub(super) fn expire(&mut self, now_ms: u64) {
         self.contents.retain(|_, entry| entry.expires_ms.is_none_or(|expires_ms| expires_ms > now_ms));
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// Milliseconds of the Unix clock.
+/// The current Unix time in milliseconds.
 pub(super) fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
 }
--- a/testkit/src/request_log.rs
+++ b/testkit/src/request_log.rs
@@ -1,4 +1,4 @@
-//! What the engines of a run received, with times, and checkers of the gateway's rules that read it.
+//! Timestamped log of the attempts that the engines of a run received, and checks of the gateway's rules over it.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -20,18 +20,18 @@
 /// What happens to an attempt at an engine.
 #[derive(Clone, Debug)]
 pub enum AttemptEvent {
-    /// It arrived completely.
+    /// The whole attempt was received.
     Began {
         /// Its work on one core.
         work: Duration,
         /// Its idempotency key, if it has one.
         key: Option<String>,
     },
-    /// Its answer was written, or its connection ended.
+    /// Its response was written, or its connection ended.
     Ended,
     /// The gateway cancelled it.
     Cancelled,
-    /// The engine failed when it arrived, under too much work during its slow start.
+    /// Its arrival overloaded the engine during slow start, and the engine failed.
     EngineFailed,
 }
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct RequestLog(Arc<Mutex<Vec<LogEntry>>>);
 
-/// The slow start of an engine, and how much work the rule allows in a window of it.
+/// The slow start of an engine, and the limit on the work that it may receive in a window.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
     /// Id of the engine.
@@ -56,15 +56,15 @@
     pub cores: f64,
     /// Share of its full capacity that it has at its start.
     pub initial_share: f64,
-    /// Time until it has all of its capacity.
+    /// Time until it reaches full capacity.
     pub ramp: Duration,
     /// Length of the window in which work is counted.
     pub window: Duration,
-    /// Work that the rule allows in a window, as a multiple of what the present capacity does in it.
+    /// Work that the rule allows in a window, as a multiple of what the current capacity completes in it.
     pub multiple: f64,
 }
 
-/// Shortest ramp, in seconds, where a time is divided by it.
+/// Lower bound of the ramp, in seconds; prevents division by zero.
 const MIN_RAMP_S: f64 = 1e-9;
 
 impl SlowStart {
@@ -86,7 +86,7 @@
 }
 
 impl RequestLog {
-    /// Logs an event of now.
+    /// Logs an event with the current time.
     pub fn record(&self, engine: &str, trace: &str, event: AttemptEvent) {
         let (engine, trace) = (engine.to_owned(), trace.to_owned());
         let entry = LogEntry { at: Instant::now(), engine, trace, event };
@@ -108,13 +108,13 @@
         entries.iter().filter(|entry| entry.engine == engine && entry.event.is_begin()).count()
     }
 
-    /// Attempts that arrived at a draining engine `grace` after the gateway was notified of it, or later.
+    /// Attempts that arrived at a draining engine `grace` or more after the gateway was notified of the draining.
     pub fn attempts_after_drain(&self, engine: &str, notified_at: Instant, grace: Duration) -> usize {
         let is_late = |entry: &&LogEntry| entry.engine == engine && entry.at >= notified_at + grace;
         self.lock().iter().filter(is_late).filter(|entry| entry.event.is_begin()).count()
     }
 
-    /// The work of each attempt that an engine received during its slow start, with its time.
+    /// Arrival time and work of each attempt that an engine received during its slow start.
     fn work_in_slow_start(&self, start: &SlowStart) -> Vec<(Instant, Duration)> {
         let ramp_end = start.started_at + start.ramp;
         let work_of = |entry: &LogEntry| match entry.event {
@@ -194,8 +194,8 @@
         first_of_key.values().filter(|first| first.is_duplicated).count()
     }
 
-    /// Most attempts that any request had, over all engines. A client's retry is a request of its own, with its own trace
-    /// id.
+    /// Maximum number of attempts of a single request, over all engines. A client's retry is a separate request with its
+    /// own trace id.
     pub fn max_attempts(&self) -> usize {
         let mut attempts: BTreeMap<String, usize> = BTreeMap::new();
         for entry in self.lock().iter().filter(|entry| entry.event.is_begin()) {
@@ -204,7 +204,7 @@
         attempts.into_values().max().unwrap_or(0)
     }
 
-    /// Most attempts of one idempotency key that were in flight at the same time, over all engines.
+    /// Maximum number of attempts of one idempotency key in flight at the same time, over all engines.
     ///
     /// # Panics
     ///
--- a/testkit/src/resp.rs
+++ b/testkit/src/resp.rs
@@ -1,4 +1,5 @@
-//! Engines on RESP for tests, written from the protocol page: one that follows a script, and one after the model.
+//! Engines on RESP for tests, written from the protocol's documentation: one follows a script, and the other simulates its
+//! cores with [`crate::model`].
 
 mod modelled;
 mod scripted;
--- a/testkit/src/resp/modelled.rs
+++ b/testkit/src/resp/modelled.rs
@@ -18,15 +18,15 @@
 
 /// Fields of an answer of an engine without a shape.
 const IMMEDIATE_FIELDS: &[u8] = b"total=1,elapsed=0.1,rss=1";
-/// Bytes of a connection's input buffer at first.
+/// Initial capacity of a connection's input buffer, in bytes.
 const INITIAL_BUFFER_BYTES: usize = 64 * 1024;
-/// Bits of a query's number that count within its connection; the others are the connection's.
+/// Low bits of a query's number, which count within its connection; the high bits identify the connection.
 const QUERY_BITS: u32 = 32;
-/// Work of a query whose statement does not say it, in milliseconds on one core.
+/// Work of a query whose statement does not specify it, in milliseconds on one core.
 const DEFAULT_WORK_MS: f64 = 1.0;
 
-/// A running engine after the model. Statements say how much work they are: `... WORK 40.0 THREADS 2 ...`, in
-/// milliseconds on one core.
+/// A running modelled engine. Statements specify their work, in milliseconds on one core, and their threads:
+/// `... WORK 40.0 THREADS 2 ...`.
 #[derive(Clone)]
 pub struct ModelledEngine {
     /// Where it accepts connections.
@@ -43,7 +43,8 @@
     }
 }
 
-/// Starts an engine of this shape that logs under `name`; with no shape it answers all attempts at once, and logs nothing.
+/// Starts an engine of this shape that logs under `name`; without a shape it answers all attempts immediately and
+/// logs nothing.
 ///
 /// # Panics
 ///
@@ -78,7 +79,7 @@
     }
 }
 
-/// The number after a word of a statement.
+/// The number that follows `word` in a statement.
 fn number_after(statement: &[u8], word: &str) -> Option<f64> {
     let text = std::str::from_utf8(statement).ok()?;
     let mut words = text.split_whitespace();
@@ -92,7 +93,7 @@
     is_immediate: bool,
     events: mpsc::UnboundedSender<EngineEvent>,
     answers: mpsc::UnboundedSender<Bytes>,
-    /// Numbers of the attempts that are open, by their trace ids.
+    /// Numbers of the open attempts, by trace id.
     open: HashMap<Bytes, u64>,
     output: BytesMut,
 }
@@ -137,7 +138,7 @@
     }
 }
 
-/// Serves one connection: reads commands, passes them to the engine's task, and writes what comes back.
+/// Serves one connection: reads commands, passes them to the engine's task, and writes its answers.
 async fn serve(
     mut stream: TcpStream,
     last_id: u64,
--- a/testkit/src/resp/modelled/engine.rs
+++ b/testkit/src/resp/modelled/engine.rs
@@ -1,4 +1,4 @@
-//! The task of a modelled engine: the model, and the queries that it runs.
+//! The task that owns a modelled engine's model and running queries.
 
 use crate::model::{Admission, Model, Shape};
 use crate::request_log::{AttemptEvent, RequestLog};
@@ -9,17 +9,17 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// How an engine behaves beyond its shape. May be changed while it runs.
+/// Operating condition of an engine, which may be changed while it runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EngineBehavior {
-    /// As its shape says.
+    /// Works as its shape defines.
     #[default]
     Healthy,
     /// Its process is dead: connections are reset, new ones closed at once.
     Dead,
     /// It accepts attempts and sends nothing more.
     Silent,
-    /// It answers all attempts with an error, at once.
+    /// It answers all attempts with an error immediately.
     Failing,
     /// It works eight times slower than normal.
     Slow,
@@ -36,7 +36,7 @@
 pub(super) struct Query {
     /// Number of the query at its engine.
     pub(super) id: u64,
-    /// Where its answers go.
+    /// Channel to its connection.
     pub(super) answers: mpsc::UnboundedSender<Bytes>,
     pub(super) trace: Bytes,
     /// Work in seconds on one core.
@@ -75,7 +75,7 @@
     }
 }
 
-/// What the engine's task receives.
+/// An event that the engine's task receives.
 pub(super) enum EngineEvent {
     /// An attempt arrived.
     Began(Query),
@@ -106,7 +106,7 @@
         Self { name, log, model, normal_slowdown, started: Instant::now(), queries }
     }
 
-    /// Runs until all connections and the engine's handle are gone.
+    /// Runs until all connections and handles of the engine are dropped.
     pub(super) async fn run(mut self, mut events: mpsc::UnboundedReceiver<EngineEvent>) {
         self.started = Instant::now();
         let mut next_report = self.started + PROGRESS_INTERVAL;
@@ -139,7 +139,7 @@
         self.log.record(&self.name, trace, event);
     }
 
-    /// Advances the model to now, and answers what has ended.
+    /// Advances the model to now, and answers the completed queries.
     fn end_completed(&mut self) {
         for id in self.model.advance(self.started.elapsed().as_secs_f64()) {
             if let Some(query) = self.queries.remove(&id) {
--- a/testkit/src/resp/scripted.rs
+++ b/testkit/src/resp/scripted.rs
@@ -8,9 +8,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Rows of one page of a result.
+/// Number of rows in a page of a result.
 const ROWS_PER_PAGE: usize = 200;
-/// An id that no attempt has.
+/// A trace id that no attempt uses.
 const UNKNOWN_ID: &[u8] = b"ffffffffffffffff";
 
 /// Starts an engine of this name that follows the script of `test_bed`; returns its address.
@@ -36,11 +36,11 @@
     rows().chunks(ROWS_PER_PAGE).map(text).collect()
 }
 
-/// What happens to a connection after its answers were written.
+/// Behavior of a connection after its answers were written.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AfterWrite {
     Continue,
-    /// The connection breaks.
+    /// The connection is closed.
     Disconnect,
     /// The connection stays open, and no more bytes follow.
     StopSending,
@@ -50,7 +50,7 @@
 struct Connection {
     name: &'static str,
     test_bed: TestBed,
-    /// Statements of the attempts that are open, by their ids.
+    /// Statements of the open attempts, by trace id.
     open: HashMap<Bytes, String>,
     output: BytesMut,
     after_write: AfterWrite,
@@ -85,10 +85,10 @@
         assert!(!statement.contains("route="), "the fields comment was forwarded");
         let key = fields.split(',').find_map(|field| field.strip_prefix("dedupe="));
         let response = self.test_bed.receive(self.name, &statement, key);
-        let is_late_copy = statement.starts_with("TWICE") && self.open.contains_key(id);
+        let has_earlier_attempt = statement.starts_with("TWICE") && self.open.contains_key(id);
         self.open.insert(id.clone(), statement);
-        if is_late_copy {
-            // The error of the attempt before, once more, after the next one has come in.
+        if has_earlier_attempt {
+            // Repeats the previous attempt's error after the next attempt has arrived.
             self.answer(id, "500", "-", "");
         }
         self.respond(response, id);
@@ -127,7 +127,7 @@
         self.answer(id, "200", &fields, &pages[0]);
     }
 
-    /// Sends an answer that cannot be parsed: `ID KIND FIELDS` under the attempt's id, or bytes as they are.
+    /// Sends an invalid answer: `ID KIND FIELDS` with the attempt's id in place of `ID`, or the bytes unchanged.
     fn answer_malformed(&mut self, id: &Bytes, malformed: &str) {
         match malformed.strip_prefix("ID ").and_then(|answer| answer.split_once(' ')) {
             Some((kind, fields)) => {
--- a/testkit/src/test_bed.rs
+++ b/testkit/src/test_bed.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Time that [`until`] waits for its condition.
+/// Timeout of [`until`].
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between two checks of a condition.
 const CONDITION_INTERVAL: Duration = Duration::from_millis(5);
 /// Rows of every scripted result.
 const ROW_COUNT: usize = 600;
 
-/// Waits until `condition` holds; `description` says in the test's failure what was waited for.
+/// Polls until `condition` holds; `description` names the condition in the panic message.
 ///
 /// # Panics
 ///
@@ -36,15 +36,15 @@
     Error,
     /// Send nothing until the attempt is cancelled.
     Hang,
-    /// Send half of the result, then break the connection.
+    /// Send half of the result, then close the connection.
     CutResult,
-    /// Do the work, then break the connection before the answer.
+    /// Do the work, then close the connection before the answer.
     LoseAck,
     /// Answer with these bytes, which cannot be parsed.
     Malformed(&'static str),
-    /// Send part of an answer, then nothing on that connection any more.
+    /// Send part of an answer, then nothing more on that connection.
     Partial,
-    /// Send more than is wanted: an answer under an unknown id first, and the answer itself twice.
+    /// Send extra answers: one with an unknown id first, and then the answer itself twice.
     Duplicate,
 }
 
@@ -145,8 +145,8 @@
         *attempts
     }
 
-    /// Logs the effect of a write, as the engines do: a repeated key has no second effect, and what has no key always
-    /// takes effect.
+    /// Logs the effect of a write. As on real engines, a repeated key has no second effect, and a write without a key
+    /// always takes effect.
     fn apply_effect(&mut self, engine: &str, statement: &str, key: Option<&str>, response: ScriptedResponse) {
         let is_write = statement.starts_with("INSERT") || statement.starts_with("LOSE");
         let is_done = matches!(response, ScriptedResponse::Serve | ScriptedResponse::LoseAck);
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Remembers a key; `false` if it was known already.
+    /// Remembers a key; returns `false` if it was already known.
     fn remember_key(&mut self, engine: &str, key: &str) -> bool {
         let remembered = if self.keys_per_engine { format!("{engine}/{key}") } else { key.to_owned() };
         self.keys.insert(remembered)
@@ -185,7 +185,7 @@
     }
 }
 
-/// How a query ended, as its client saw it; the same for both protocols.
+/// The outcome of a query as its client saw it, the same for both protocols.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
     /// The whole result was received.
@@ -199,7 +199,7 @@
     BadInput,
 }
 
-/// The rows that every scripted engine serves: enough for several pages.
+/// The rows that every scripted engine serves, enough for several pages.
 pub fn rows() -> Vec<[String; 3]> {
     (0..ROW_COUNT).map(|n| [format!("day-{n}"), n.to_string(), format!("a note of row {n}")]).collect()
 }
--- a/testkit/src/wire.rs
+++ b/testkit/src/wire.rs
@@ -1,11 +1,11 @@
-//! RESP arrays of bulk strings, as the protocol page has them.
+//! Encoder and decoder of RESP arrays of bulk strings.
 
 use bytes::{Bytes, BytesMut};
 
-/// Decimal digits of the largest length.
+/// Maximum number of decimal digits of a length.
 const MAX_DIGITS: usize = 20;
 
-/// Takes the next complete array off the front of `buffer`; `None` if it has not arrived completely.
+/// Removes the first array from `buffer` and returns it; `None` if it is incomplete.
 ///
 /// # Panics
 ///
@@ -19,7 +19,7 @@
         if buffer.len() < at + size + 2 {
             return None;
         }
-        assert_eq!(&buffer[at + size..at + size + 2], b"\r\n", "a word without its end of line");
+        assert_eq!(&buffer[at + size..at + size + 2], b"\r\n", "bulk string is not followed by CRLF");
         ranges.push(at..at + size);
         at += size + 2;
     }
@@ -27,12 +27,12 @@
     Some(ranges.into_iter().map(|range| array.slice(range)).collect())
 }
 
-/// The length in a `*N` or `$N` line at `at`, which moves behind the line.
+/// Parses the length in a `*N` or `$N` line at offset `at`, and advances `at` past the line.
 fn length_line(buffer: &[u8], at: &mut usize, type_byte: u8) -> Option<usize> {
     let rest = buffer.get(*at..).filter(|rest| !rest.is_empty())?;
     assert_eq!(rest[0], type_byte, "unexpected type in {:?}", String::from_utf8_lossy(rest));
     let end = rest.iter().position(|byte| *byte == b'\r')?;
-    let number = std::str::from_utf8(&rest[1..end]).unwrap().parse().expect("a length");
+    let number = std::str::from_utf8(&rest[1..end]).unwrap().parse().expect("invalid length");
     rest.get(end + 1)?;
     *at += end + 2;
     Some(number)
@@ -50,7 +50,7 @@
 
 /// Appends a `*N` or `$N` line.
 fn put_length(out: &mut BytesMut, type_byte: u8, length: usize) {
-    // Written without an allocation: an engine of a benchmark writes millions of them.
+    // Avoids an allocation, because the engines of a benchmark write millions of lengths.
     let mut digits = [0; MAX_DIGITS];
     let mut at = digits.len();
     let mut rest = length;
