--- a/testkit/src/load_generator.rs
+++ b/testkit/src/load_generator.rs
@@ -203,7 +203,7 @@
 /// Extra time that a client waits beyond its stated timeout.
 const CLIENT_GRACE: Duration = Duration::from_millis(500);
 
-/// What the sessions of one thread share.
+/// State shared by the sessions of one thread.
 struct ThreadState {
     plan: LoadPlan,
     address: SocketAddr,
--- a/testkit/src/model.rs
+++ b/testkit/src/model.rs
@@ -6,7 +6,7 @@
 /// How the capacity of an engine grows after its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RampShape {
-    /// Share of its full capacity that it has at its start.
+    /// Capacity at its start, as a fraction of full capacity.
     pub initial_share: f64,
     /// Seconds until it reaches full capacity; the capacity grows linearly.
     pub ramp_s: f64,
@@ -106,7 +106,7 @@
         Self { shape, now_s: 0.0, running: BTreeMap::new(), arrivals: VecDeque::new(), down_until_s: 0.0 }
     }
 
-    /// Share of its full capacity that it has at an instant.
+    /// Capacity at a point in time, as a fraction of full capacity.
     fn capacity_share(&self, at_s: f64) -> f64 {
         let age_s = at_s - self.shape.starts_at_s;
         match self.shape.slow_start {
--- a/testkit/src/request_log.rs
+++ b/testkit/src/request_log.rs
@@ -13,11 +13,11 @@
     pub engine: String,
     /// Trace id of the attempt.
     pub trace: String,
-    /// What happened to the attempt.
+    /// The event of the attempt.
     pub event: AttemptEvent,
 }
 
-/// What happens to an attempt at an engine.
+/// An event in the life of an attempt at an engine.
 #[derive(Clone, Debug)]
 pub enum AttemptEvent {
     /// The whole attempt was received.
@@ -54,7 +54,7 @@
     pub started_at: Instant,
     /// Its cores.
     pub cores: f64,
-    /// Share of its full capacity that it has at its start.
+    /// Capacity at its start, as a fraction of full capacity.
     pub initial_share: f64,
     /// Time until it reaches full capacity.
     pub ramp: Duration,
@@ -131,7 +131,7 @@
     }
 
     /// For each attempt that an engine received during its slow start: the work in the window that ends there, as a
-    /// multiple of what the rule allows.
+    /// multiple of the limit.
     fn slow_start_windows(&self, start: &SlowStart) -> Vec<f64> {
         let received = self.work_in_slow_start(start);
         let mut first = 0;
@@ -154,7 +154,7 @@
         self.slow_start_windows(start).into_iter().filter(|window| *window > 1.0).count()
     }
 
-    /// The fullest window of an engine in slow start, as a multiple of what the rule allows.
+    /// Maximum work in any window of an engine in slow start, as a multiple of the limit.
     pub fn slow_start_peak(&self, start: &SlowStart) -> f64 {
         self.slow_start_windows(start).into_iter().fold(0.0, f64::max)
     }
--- a/testkit/src/test_bed.rs
+++ b/testkit/src/test_bed.rs
@@ -1,4 +1,4 @@
-//! The script that the scripted engines of a test share, statement by statement, and the log of what they received.
+//! The script that the scripted engines of a test share, with a response per statement, and the log of received attempts.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -25,7 +25,7 @@
     }
 }
 
-/// What a scripted engine does with an attempt.
+/// How a scripted engine responds to an attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ScriptedResponse {
     /// Send the whole result.
@@ -59,7 +59,7 @@
     pub statement: String,
 }
 
-/// The state behind a [`TestBed`]: settings of the script, and what the engines received.
+/// The state behind a [`TestBed`]: settings of the script, and the attempts that the engines received.
 #[derive(Default)]
 pub struct Script {
     /// Attempts so far, by statement.
@@ -91,7 +91,7 @@
         self.0.lock().unwrap()
     }
 
-    /// Logs an attempt that `engine` received, with its idempotency key, and returns what the engine is to do with it.
+    /// Logs an attempt that `engine` received, with its idempotency key, and returns how the engine is to respond.
     pub fn receive(&self, engine: &str, statement: &str, key: Option<&str>) -> ScriptedResponse {
         let mut script = self.script();
         script.log_attempt(engine, statement);
