--- a/fault-injection/src/bin/run-scenario.rs
+++ b/fault-injection/src/bin/run-scenario.rs
@@ -1,5 +1,5 @@
 //! Runs one scenario: `run-scenario SCENARIO.kdl [FOLDER]`. Prints what was observed in each second and which faults were
-//! applied, and draws charts into the folder. Exits with an error where a fault of the scenario was never applied.
+//! applied, and draws charts into the folder. Exits with an error if a fault of the scenario was never applied.
 
 use indicatif::{ProgressBar, ProgressStyle};
 use reedwalk_fault_injection::chart;
@@ -16,23 +16,23 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// The gateway program, where the environment variable `REEDWALK` names none.
+/// Path of the gateway program, unless the environment variable `REEDWALK` names one.
 const DEFAULT_PROGRAM: &str = "target/release/reedwalk";
-/// Where charts are drawn, where the command line names no folder.
+/// Folder for charts, unless the command line names one.
 const DEFAULT_CHART_FOLDER: &str = "target/scenarios";
-/// What a gateway logs when it ejects an engine on the reports of other gateways.
+/// Message that a gateway logs when it ejects an engine because of reports from other gateways.
 const EJECTED_ON_GOSSIP: &str = "engine ejected on gossip";
-/// How often the steps that are due are taken.
+/// Interval at which due steps are executed.
 const STEP_INTERVAL: Duration = Duration::from_millis(10);
 /// Length of a step's label in a chart, in characters.
 const MAX_LABEL_CHARS: usize = 24;
-/// How the requests of a second may end, in the order of [`outcome_index`].
+/// Outcomes of requests, in the order of [`outcome_index`].
 const OUTCOME_NAMES: [&str; 4] = ["served", "rejected", "failed", "lost"];
 
 /// A step in a chart: seconds after the start, and a label.
 type Mark = (f64, String);
 
-fn take_step(cluster: &mut Cluster, step: &Step) {
+fn run_step(cluster: &mut Cluster, step: &Step) {
     match step {
         Step::SetGossipLinks(fault) => cluster.gossip_network.set_default_fault(*fault),
         Step::Partition { groups } => {
@@ -58,7 +58,7 @@
 }
 
 /// The faults of a scenario that were never applied.
-fn missing_faults(scenario: &Scenario, applied: &AppliedFaults) -> Vec<&'static str> {
+fn unapplied_faults(scenario: &Scenario, applied: &AppliedFaults) -> Vec<&'static str> {
     let has_step =
         |is_match: fn(&Step) -> bool| scenario.steps.iter().any(|scheduled| is_match(&scheduled.step));
     let has_link_fault = |is_match: fn(&DatagramFault) -> bool| {
@@ -97,11 +97,11 @@
 
 /// What was observed in each second of a run.
 struct Observations {
-    /// How the requests ended that were sent in each second, in the order of [`OUTCOME_NAMES`].
+    /// Outcomes of the requests sent in each second, in the order of [`OUTCOME_NAMES`].
     outcomes: Vec<[u64; 4]>,
     /// Attempts at each engine, by engine and second.
     attempts: Vec<Vec<f64>>,
-    /// Ejections of engines on the reports of other gateways.
+    /// Ejections of engines because of reports from other gateways, by second.
     gossip_ejections: Vec<f64>,
 }
 
@@ -195,8 +195,8 @@
     }
 }
 
-/// Takes the steps at their times until the scenario is over; returns marks for the charts.
-fn take_steps(
+/// Executes the steps at their times until the scenario is over; returns marks for the charts.
+fn run_steps(
     cluster: &mut Cluster,
     scenario: &Scenario,
     started: Instant,
@@ -210,7 +210,7 @@
         while let Some(ScheduledStep { step, .. }) = steps.next_if(is_due) {
             let label = format!("{step:?}").chars().take(MAX_LABEL_CHARS).collect();
             marks.push((started.elapsed().as_secs_f64(), label));
-            take_step(cluster, step);
+            run_step(cluster, step);
         }
         bar.set_position(started.elapsed().as_secs());
         cluster.run_for(STEP_INTERVAL);
@@ -231,7 +231,7 @@
     let mut cluster = start_cluster(scenario);
     let started = Instant::now();
     cluster.start_load(&load(scenario));
-    let marks = take_steps(&mut cluster, scenario, started)?;
+    let marks = run_steps(&mut cluster, scenario, started)?;
     let all_gateways: Vec<_> = (0..scenario.gateways).collect();
     cluster.resume(&all_gateways);
     let requests = cluster.end_load();
@@ -246,7 +246,7 @@
     println!("applied faults: {applied}");
     observations.draw(folder, &scenario.name, &marks)?;
     println!("charts: {}", folder.display());
-    let missing = missing_faults(scenario, &applied);
+    let missing = unapplied_faults(scenario, &applied);
     if !missing.is_empty() {
         println!("FAILED: faults of the scenario that were never applied: {}", missing.join(", "));
     }
--- a/fault-injection/src/chart.rs
+++ b/fault-injection/src/chart.rs
@@ -15,9 +15,9 @@
 const LINE_WIDTH_PX: u32 = 2;
 const LEGEND_LINE_PX: i32 = 16;
 
-/// Axes end this much beyond the largest value, as a factor.
+/// Ratio of the end of an axis to the largest value.
 const AXIS_HEADROOM: f64 = 1.05;
-/// The largest value of an axis or a heat map where all values are 0, so that nothing is divided by it.
+/// The largest value of an axis or a heat map where all values are 0, which avoids a division by zero.
 const MIN_SCALE: f64 = 1e-9;
 
 /// A line of a chart: its name in the legend and its points (x, y).
@@ -37,7 +37,7 @@
 /// Draws lines over common axes, with vertical marks at the times of a run's steps. `axes` are the labels of x and y.
 ///
 /// # Errors
-/// Where the file can't be written.
+/// Returns an error if the file can't be written.
 pub fn draw_lines(
     path: &Path,
     title: &str,
@@ -75,7 +75,7 @@
 /// Draws a heat map of rows by columns, in which the largest value is the darkest. `axes` are the labels of x and y.
 ///
 /// # Errors
-/// Where the file can't be written.
+/// Returns an error if the file can't be written.
 pub fn draw_heat_map(
     path: &Path,
     title: &str,
--- a/fault-injection/src/cluster.rs
+++ b/fault-injection/src/cluster.rs
@@ -2,7 +2,7 @@
 
 pub use crate::cluster_config::{ClusterConfig, engine_id};
 use crate::cluster_config::{
-    Surroundings, create_gateways, endpoint_list, engine_number, start_discovery, start_engine_relays,
+    GatewayDependencies, create_gateways, endpoint_list, engine_number, start_discovery, start_engine_relays,
     start_engines, unix_ms,
 };
 use crate::environment::{RuntimeThread, TemporaryFolder};
@@ -24,31 +24,31 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::Handle;
 
-/// Where clients find no gateway: the discard port, on which nothing listens.
-const UNREACHABLE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
-/// How long an engine is dead while it restarts.
-const ENGINE_RESTART_TIME: Duration = Duration::from_millis(50);
+/// Address of an absent gateway: the discard port, on which nothing listens.
+const UNREACHABLE_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
+/// Downtime of an engine during a restart.
+const ENGINE_RESTART_DOWNTIME: Duration = Duration::from_millis(50);
 /// How often [`Cluster::wait_until`] checks its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running cluster. Everything is stopped when it is dropped.
-// Fields are dropped in their order: the processes before the runtimes and the folder.
+// Fields are dropped in declaration order: the processes before the runtimes and the folder.
 pub struct Cluster {
     /// The configuration that it was started with.
     pub config: ClusterConfig,
-    /// The gateways by their numbers; `None` in the places of rogue gateways.
+    /// The gateways by their numbers; `None` for each one that a rogue gateway replaces.
     pub gateways: Vec<Option<GatewayProcess>>,
     /// The engines by their numbers.
     pub engines: Vec<ModelledEngine>,
     /// The network that carries gossip between the gateways.
     pub gossip_network: GossipNetwork,
-    /// What the engines received.
+    /// Log of the requests that the engines received.
     pub request_log: RequestLog,
     /// The relays from gateways to engines, by zone and engine.
     pub engine_relays: Vec<Vec<TcpRelay>>,
     /// The load, while one is running.
     pub load: Option<RunningLoad>,
-    /// Responses that clients received without a request, such as second ones, in the loads that have ended.
+    /// Number of responses that clients received without a request, such as duplicates, in the loads that have ended.
     pub unsolicited_responses: usize,
     /// The rogue gateway, if one was started.
     pub rogue_gateway: Option<RogueGateway>,
@@ -62,9 +62,9 @@
     pub client_relays: Vec<Option<TcpRelay>>,
     applied: AppliedFaults,
     /// Runs the engines, the relays and the discovery server.
-    environment: RuntimeThread,
+    server_runtime: RuntimeThread,
     /// Runs the clients.
-    clients: RuntimeThread,
+    client_runtime: RuntimeThread,
     folder: TemporaryFolder,
 }
 
@@ -72,19 +72,19 @@
     /// Starts a cluster and waits until all gateways serve.
     ///
     /// # Panics
-    /// Where a part of it can't be started, or a gateway does not serve in time.
+    /// Panics if a part of it can't be started, or a gateway does not serve in time.
     pub fn start(config: ClusterConfig) -> Self {
-        let (environment, clients) = (RuntimeThread::new(), RuntimeThread::new());
+        let (server_runtime, client_runtime) = (RuntimeThread::new(), RuntimeThread::new());
         let folder = TemporaryFolder::new();
         let request_log = RequestLog::default();
         let engines_started_ms = if config.slow_start { unix_ms() } else { 0 };
-        let engines = start_engines(&config, &request_log, &environment.handle);
+        let engines = start_engines(&config, &request_log, &server_runtime.handle);
         let endpoint_list = endpoint_list(&engines, engines_started_ms);
-        let discovery_relays = start_discovery(&config, &endpoint_list, &environment.handle);
+        let discovery_relays = start_discovery(&config, &endpoint_list, &server_runtime.handle);
         let keys = signing_keys(&config);
-        let gossip_network = GossipNetwork::start(config.gateways, keys, config.seed, &environment.handle);
-        let engine_relays = start_engine_relays(&config, &engines, &environment.handle);
-        let surroundings = Surroundings {
+        let gossip_network = GossipNetwork::start(config.gateways, keys, config.seed, &server_runtime.handle);
+        let engine_relays = start_engine_relays(&config, &engines, &server_runtime.handle);
+        let dependencies = GatewayDependencies {
             folder: &folder,
             engines: &engines,
             engine_relays: &engine_relays,
@@ -92,7 +92,7 @@
             network: &gossip_network,
             started_ms: engines_started_ms,
         };
-        let gateways = create_gateways(&config, &surroundings);
+        let gateways = create_gateways(&config, &dependencies);
         let mut cluster = Self {
             config,
             gateways,
@@ -108,8 +108,8 @@
             discovery_relays,
             client_relays: Vec::new(),
             applied: AppliedFaults::default(),
-            environment,
-            clients,
+            server_runtime,
+            client_runtime,
             folder,
         };
         cluster.start_all();
@@ -122,7 +122,7 @@
         let numbers: Vec<_> = (0..self.gateways.len()).filter(is_gateway).collect();
         self.start_gateways(&numbers);
         if self.config.client_relays {
-            let runtime = &self.environment.handle;
+            let runtime = &self.server_runtime.handle;
             let start_relay = |gateway: &GatewayProcess| TcpRelay::start(gateway.address, runtime);
             self.client_relays =
                 self.gateways.iter().map(|gateway| gateway.as_ref().map(start_relay)).collect();
@@ -148,13 +148,13 @@
     /// A gateway by its number.
     ///
     /// # Panics
-    /// Where a rogue gateway has its place.
+    /// Panics if a rogue gateway replaces it.
     pub fn gateway(&self, number: usize) -> &GatewayProcess {
-        self.gateways[number].as_ref().expect("a gateway that is not a rogue one")
+        self.gateways[number].as_ref().expect("a rogue gateway has this number")
     }
 
     fn gateway_mut(&mut self, number: usize) -> &mut GatewayProcess {
-        self.gateways[number].as_mut().expect("a gateway that is not a rogue one")
+        self.gateways[number].as_mut().expect("a rogue gateway has this number")
     }
 
     /// All gateways except rogue ones.
@@ -162,18 +162,18 @@
         self.gateways.iter().flatten()
     }
 
-    /// Where clients reach a gateway: at its relay, or directly.
+    /// The address at which clients reach a gateway: that of its relay, or its own.
     fn client_address(&self, number: usize) -> SocketAddr {
         if let Some(Some(relay)) = self.client_relays.get(number) {
             return relay.address;
         }
-        self.gateways[number].as_ref().map_or(UNREACHABLE, |gateway| gateway.address)
+        self.gateways[number].as_ref().map_or(UNREACHABLE_ADDRESS, |gateway| gateway.address)
     }
 
     /// Starts a load, which runs until [`Cluster::end_load`].
     pub fn start_load(&mut self, load: &Load) {
         let addresses: Vec<_> = (0..self.gateways.len()).map(|number| self.client_address(number)).collect();
-        let running = load.start(&addresses, &self.clients.handle);
+        let running = load.start(&addresses, &self.client_runtime.handle);
         for &number in &self.config.rogue_gateways {
             running.set_address(number, None);
         }
@@ -183,15 +183,15 @@
     /// Ends the load, waits until its last request has ended, and returns all of its requests.
     ///
     /// # Panics
-    /// Where no load is running, or a request does not end in time.
+    /// Panics if no load is running, or a request does not end in time.
     pub fn end_load(&mut self) -> Vec<RequestRecord> {
-        let load = self.load.take().expect("a running load");
+        let load = self.load.take().expect("no load is running");
         let records = load.end();
         self.unsolicited_responses += load.unsolicited_responses();
         records
     }
 
-    /// Starts a rogue gateway in the place of the gateway with this number; it signs with `key`, if it has one.
+    /// Starts a rogue gateway that replaces the gateway with this number; it signs with `key`, if one is given.
     pub fn start_rogue_gateway(&mut self, number: usize, key: Option<&[u8]>) -> &mut RogueGateway {
         let rogue = RogueGateway::new(number, &self.gossip_network.addresses, key, self.config.seed);
         self.gossip_network.set_gateway_address(number, rogue.address);
@@ -218,7 +218,7 @@
     /// server's events up to now.
     ///
     /// # Panics
-    /// Where one runs already, or does not serve in time.
+    /// Panics if one is already running, or does not serve in time.
     pub fn restart(&mut self, numbers: &[usize]) {
         let (serial, draining) = self.draining_engines();
         for &number in numbers {
@@ -254,10 +254,10 @@
         self.applied.resumed += resumed as u64;
     }
 
-    /// Marks an engine as draining in the discovery server's list; returns when that was done.
+    /// Marks an engine as draining in the discovery server's list; returns when the list changed.
     ///
     /// # Panics
-    /// Where the discovery server has panicked.
+    /// Panics if the discovery server has panicked.
     pub fn drain_engine(&mut self, engine: usize) -> Instant {
         let mut list = self.endpoint_list.lock().unwrap();
         list.0 += 1;
@@ -268,15 +268,15 @@
         Instant::now()
     }
 
-    /// Ends an engine and starts another one at its address, with a new start time in the discovery server's list; returns
-    /// when that was done.
+    /// Stops an engine and starts another one at its address, with a new start time in the discovery server's list; returns
+    /// when the new one was ready.
     ///
     /// # Panics
-    /// Where the discovery server has panicked.
+    /// Panics if the discovery server has panicked.
     pub fn restart_engine(&mut self, engine: usize) -> Instant {
         self.applied.engine_changes += 1;
         self.engines[engine].set_behavior(EngineBehavior::Dead);
-        std::thread::sleep(ENGINE_RESTART_TIME);
+        std::thread::sleep(ENGINE_RESTART_DOWNTIME);
         let mut list = self.endpoint_list.lock().unwrap();
         list.0 += 1;
         let id = engine_id(engine);
@@ -287,7 +287,7 @@
         Instant::now()
     }
 
-    /// Sets the fault of the connections from the gateways of a zone to an engine.
+    /// Sets the fault applied to the connections from the gateways of a zone to an engine.
     pub fn set_engine_link_fault(&self, zone: usize, engine: usize, fault: ConnectionFault) {
         self.engine_relays[zone][engine].set_fault(fault);
     }
@@ -295,13 +295,13 @@
     /// The cell of an engine, by its identifier.
     ///
     /// # Panics
-    /// Where the cluster has no such engine.
+    /// Panics if the cluster has no such engine.
     pub fn cell(&self, engine_id: &str) -> usize {
         let engine = engine_number(engine_id).expect("an engine of the cluster");
         self.config.cell(engine)
     }
 
-    /// How often each fault was applied so far, over all parts of the cluster.
+    /// How often each fault was applied so far, over all components of the cluster.
     pub fn applied_faults(&self) -> AppliedFaults {
         let mut applied = self.applied;
         applied.add(&self.gossip_network.applied_faults());
@@ -317,20 +317,20 @@
         applied
     }
 
-    /// Checks that no gateway process has ended by itself.
+    /// Checks that no gateway process has exited on its own.
     ///
     /// # Panics
-    /// Where one has.
+    /// Panics if one has.
     pub fn check_crashes(&mut self) {
         let gateways = self.gateways.iter_mut().flatten();
         let crashes: Vec<_> = gateways.filter_map(GatewayProcess::crash_report).collect();
         assert!(crashes.is_empty(), "{crashes:?}");
     }
 
-    /// Waits until a condition holds, and returns how long that took. `description` completes "waited in vain until".
+    /// Waits until a condition holds and returns the elapsed time. `description` completes "timed out waiting until".
     ///
     /// # Panics
-    /// Where it does not hold within `timeout`.
+    /// Panics if it does not hold within `timeout`.
     pub fn wait_until(
         &self,
         description: &str,
@@ -341,7 +341,7 @@
         while !condition(self) {
             assert!(
                 started.elapsed() < timeout,
-                "waited {timeout:?} in vain until {description}; {}",
+                "timed out after {timeout:?} waiting until {description}; {}",
                 self.applied_faults()
             );
             std::thread::sleep(POLL_INTERVAL);
@@ -352,7 +352,7 @@
     /// Lets the cluster run for this time, and then checks for crashes.
     ///
     /// # Panics
-    /// Where a gateway process has ended by itself.
+    /// Panics if a gateway process has exited on its own.
     pub fn run_for(&mut self, duration: Duration) {
         std::thread::sleep(duration);
         self.check_crashes();
@@ -370,15 +370,15 @@
     /// The metrics of a gateway by name, read from its console.
     ///
     /// # Panics
-    /// Where the gateway does not respond, or not in the form that its page describes.
+    /// Panics if the gateway does not respond, or its response is malformed.
     pub fn metrics(&self, number: usize) -> HashMap<String, u64> {
         let console = self.gateway(number).console;
-        self.environment.handle.block_on(reedwalk_testkit::console::metrics(console))
+        self.server_runtime.handle.block_on(reedwalk_testkit::console::metrics(console))
     }
 
     /// The runtime of the engines, relays and discovery server.
     pub fn runtime(&self) -> &Handle {
-        &self.environment.handle
+        &self.server_runtime.handle
     }
 
     /// The folder of the cluster's files.
@@ -388,6 +388,6 @@
 }
 
 fn signing_keys(config: &ClusterConfig) -> SigningKeys {
-    let key = |key: &Vec<u8>| SigningKey::new(key).expect("a key that is long enough");
+    let key = |key: &Vec<u8>| SigningKey::new(key).expect("the signing key is too short");
     SigningKeys(config.signing_key.iter().map(key).collect())
 }
--- a/fault-injection/src/cluster_config.rs
+++ b/fault-injection/src/cluster_config.rs
@@ -18,13 +18,13 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::runtime::Handle;
 
-/// Cores of an engine, where a configuration sets nothing else.
+/// Default number of cores of an engine.
 pub(crate) const DEFAULT_ENGINE_CORES: f64 = 8.0;
-/// Permissions of a file that nobody else may read.
+/// Permissions of a file that only its owner may read.
 const PRIVATE_FILE_MODE: u32 = 0o600;
-/// Distance of the clusters' seeds, within which each gateway has a seed of its own.
+/// Spacing between the seeds of clusters, so that each gateway of each cluster has a different seed.
 const GATEWAY_SEED_STEP: u64 = 1_000_003;
-/// The name that engines' identifiers begin with; a number follows.
+/// Prefix of an engine identifier, followed by the number of the engine.
 const ENGINE_ID_PREFIX: &str = "s-";
 
 /// The configuration of a cluster.
@@ -32,34 +32,34 @@
 pub struct ClusterConfig {
     /// The executable file of the gateway program.
     pub program: PathBuf,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// The model that all engines follow.
+    /// Performance model of all engines.
     pub engine_shape: Shape,
-    /// Seed of the faults and of the gateways' random decisions.
+    /// Seed of the faults and of the random decisions of the gateways.
     pub seed: u64,
-    /// Gateways exchange gossip.
+    /// Whether gateways exchange gossip.
     pub gossip: bool,
     /// The key that gossip is signed with, if it is signed.
     pub signing_key: Option<Vec<u8>>,
     /// Lines that are added to the `peers` block of the operators' files.
     pub gossip_settings: String,
-    /// Zones of gateways. Each zone has a relay of its own to each engine; with 0 there are no such relays.
+    /// Number of gateway zones. Each zone has its own relay to each engine; 0 means no such relays.
     pub zones: usize,
-    /// Relays to the discovery server, which gateways take in turn; with 0 there is no discovery server.
+    /// Number of relays to the discovery server, assigned to gateways round-robin; 0 means no discovery server.
     pub discovery_relays: usize,
-    /// Clients reach each gateway through a relay.
+    /// Whether clients reach each gateway through a relay.
     pub client_relays: bool,
-    /// All engines start together with the cluster, so that they begin with a slow start.
+    /// Whether all engines start together with the cluster and therefore begin with a slow start.
     pub slow_start: bool,
-    /// Gateways have persistent state, each in a folder of its own.
+    /// Whether each gateway has persistent state, in its own folder.
     pub persistent_state: bool,
-    /// Cells that engines are assigned to in turn. With more than one, engines deduplicate requests with an idempotency key
-    /// within their cell only.
+    /// Number of cells, to which engines are assigned round-robin. With more than one, engines deduplicate requests with an
+    /// idempotency key only within their cell.
     pub cells: usize,
-    /// Numbers of gateways that are not started, since rogue gateways take their places.
+    /// Numbers of the gateways that are not started because rogue gateways replace them.
     pub rogue_gateways: Vec<usize>,
 }
 
@@ -124,7 +124,7 @@
         runtime.spawn(async move {
             sender.send(start_modelled_engine(&name, Some(shape), request_log).await).ok()
         });
-        receiver.recv().expect("the engine starts")
+        receiver.recv().expect("the engine failed to start")
     };
     (0..config.engines).map(start).collect()
 }
@@ -149,7 +149,7 @@
     assert!(is_supported, "the discovery server has one address and one cell for each engine");
     let (list, (sender, receiver)) = (list.clone(), std::sync::mpsc::channel());
     runtime.spawn(async move { sender.send(discovery_server::start_server(list).await.0).ok() });
-    let server = receiver.recv().expect("the discovery server starts");
+    let server = receiver.recv().expect("the discovery server failed to start");
     let start_relay = |number| UdpRelay::start(server, config.seed + number as u64, runtime);
     (0..config.discovery_relays).map(start_relay).collect()
 }
@@ -164,7 +164,7 @@
     (0..config.zones).map(|_| engines.iter().map(start_relay).collect()).collect()
 }
 
-/// The operator's file of all gateways, if they need one.
+/// Contents of the operator's file that all gateways share, if they need one.
 fn operator_file(config: &ClusterConfig, folder: &TemporaryFolder) -> Option<String> {
     let mut text = String::new();
     if config.gossip {
@@ -181,7 +181,7 @@
     (!text.is_empty()).then_some(text)
 }
 
-/// Writes a file that nobody else may read.
+/// Writes a file that only its owner may read.
 fn write_private_file(path: &Path, bytes: &[u8]) {
     let mut options = std::fs::OpenOptions::new();
     options.write(true).create(true).truncate(true).mode(PRIVATE_FILE_MODE);
@@ -189,20 +189,20 @@
     file.write_all(bytes).expect("the file is writable");
 }
 
-/// What surrounds the gateways of a cluster.
-pub(crate) struct Surroundings<'a> {
+/// The components of a cluster that its gateways are configured to reach.
+pub(crate) struct GatewayDependencies<'a> {
     pub(crate) folder: &'a TemporaryFolder,
     pub(crate) engines: &'a [ModelledEngine],
     /// By zone and engine.
     pub(crate) engine_relays: &'a [Vec<TcpRelay>],
     pub(crate) discovery_relays: &'a [UdpRelay],
     pub(crate) network: &'a GossipNetwork,
-    /// When the engines started, in milliseconds of the Unix clock; 0 for long ago.
+    /// When the engines started, in milliseconds of the Unix clock; 0 means long ago.
     pub(crate) started_ms: u64,
 }
 
-impl Surroundings<'_> {
-    /// Where a gateway reaches the engines.
+impl GatewayDependencies<'_> {
+    /// The addresses at which a gateway reaches the engines.
     fn engine_addresses(&self, config: &ClusterConfig, gateway: usize) -> Vec<SocketAddr> {
         match self.engine_relays.get(gateway % config.zones.max(1)) {
             Some(zone) => zone.iter().map(|relay| relay.address).collect(),
@@ -210,31 +210,31 @@
         }
     }
 
-    /// Where a gateway reaches the discovery server, if there is one.
+    /// The address at which a gateway reaches the discovery server, if there is one.
     fn discovery_server(&self, config: &ClusterConfig, gateway: usize) -> Option<SocketAddr> {
         let relay = self.discovery_relays.get(gateway % config.discovery_relays.max(1))?;
         Some(relay.address)
     }
 }
 
-/// Creates the gateways without starting them; `None` in the places of rogue gateways.
+/// Creates the gateways without starting them; `None` for each one that a rogue gateway replaces.
 pub(crate) fn create_gateways(
     config: &ClusterConfig,
-    surroundings: &Surroundings<'_>,
+    dependencies: &GatewayDependencies<'_>,
 ) -> Vec<Option<GatewayProcess>> {
-    let operator_file = operator_file(config, surroundings.folder);
-    let program = Program { path: config.program.clone(), folder: surroundings.folder.0.clone() };
+    let operator_file = operator_file(config, dependencies.folder);
+    let program = Program { path: config.program.clone(), folder: dependencies.folder.0.clone() };
     let create = |number| {
         if config.rogue_gateways.contains(&number) {
             return None;
         }
-        let engine_addresses = surroundings.engine_addresses(config, number);
+        let engine_addresses = dependencies.engine_addresses(config, number);
         let gateway_config = GatewayConfig {
             number,
             gateways: config.gateways,
-            known_events: known_events(config, &engine_addresses, surroundings.started_ms),
-            discovery_server: surroundings.discovery_server(config, number),
-            gossip_addresses: surroundings.network.addresses.to_vec(),
+            known_events: known_events(config, &engine_addresses, dependencies.started_ms),
+            discovery_server: dependencies.discovery_server(config, number),
+            gossip_addresses: dependencies.network.addresses.to_vec(),
             operator_file: operator_file.clone(),
             deduplicates_by_cell: config.cells > 1,
             seed: config.seed.wrapping_mul(GATEWAY_SEED_STEP) + number as u64,
@@ -246,6 +246,7 @@
 
 /// Milliseconds of the Unix clock.
 pub(crate) fn unix_ms() -> u64 {
-    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock after 1970");
+    let since_epoch =
+        SystemTime::now().duration_since(UNIX_EPOCH).expect("the system clock is set before 1970");
     since_epoch.as_millis() as u64
 }
--- a/fault-injection/src/environment.rs
+++ b/fault-injection/src/environment.rs
@@ -1,14 +1,14 @@
-//! What a cluster needs in the test's own process: runtimes in threads of their own, and a temporary folder.
+//! Resources of a cluster in the test process: runtimes on dedicated threads and a temporary folder.
 
 use std::os::unix::fs::DirBuilderExt;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 use tokio::runtime::Handle;
 
-/// Permissions of the temporary folder: nobody else may read it.
+/// Permissions of the temporary folder, which only its owner may read.
 const PRIVATE_FOLDER_MODE: u32 = 0o700;
 
-/// A single-threaded runtime in a thread of its own. Dropping it ends its tasks and waits for the thread.
+/// A single-threaded runtime on a dedicated thread. Dropping it cancels its tasks and joins the thread.
 pub struct RuntimeThread {
     pub handle: Handle,
     stop: Option<tokio::sync::oneshot::Sender<()>>,
--- a/fault-injection/src/fault.rs
+++ b/fault-injection/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of datagrams on one direction of a link, sampled from a seed, and the counters of the faults that were applied.
+//! Datagram faults in one direction of a link, sampled from a seed, and counters of the applied faults.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -9,7 +9,7 @@
 /// Bits of a byte, one of which is flipped in a corrupted datagram.
 const BITS_PER_BYTE: u32 = 8;
 
-/// The faults of one direction of a link that carries datagrams. The default has none. Shares are between 0 and 1.
+/// The faults of one direction of a link that carries datagrams. By default there are none. Shares are between 0 and 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DatagramFault {
     /// No datagram passes.
@@ -20,9 +20,9 @@
     pub duplication: f64,
     /// Share of delivered copies in which one bit is flipped.
     pub corruption: f64,
-    /// The least delay of each delivered copy.
+    /// Minimum delay of each delivered copy.
     pub delay: Duration,
-    /// Mean of the exponentially distributed delay that is added to `delay`, so that datagrams overtake each other.
+    /// Mean of the exponentially distributed delay that is added to `delay`, so that datagrams are reordered.
     pub jitter: Duration,
 }
 
@@ -58,7 +58,7 @@
     pub corrupted: u64,
     /// Copies that were delivered with a delay.
     pub delayed: u64,
-    /// Datagrams that were dropped since their sender or receiver is no gateway of the cluster.
+    /// Datagrams that were dropped because their sender or receiver is not a gateway of the cluster.
     pub unknown_sender: u64,
     /// Gateway processes that were killed.
     pub killed: u64,
@@ -134,7 +134,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// Samples which faults each datagram meets; the same seed and datagrams give the same faults.
+/// Samples the faults of each datagram, deterministically for a given seed and sequence of datagrams.
 #[derive(Debug)]
 pub struct FaultSampler(StdRng);
 
--- a/fault-injection/src/gossip_network.rs
+++ b/fault-injection/src/gossip_network.rs
@@ -1,5 +1,5 @@
-//! The network that carries gossip between gateways. Each gateway is known to all others by an address of this network, which
-//! relays what arrives there; so each direction of each pair of gateways has a fault of its own, which may change at any time.
+//! The network that carries gossip between gateways. The others reach each gateway at an address of this network, which relays
+//! the datagrams it receives; each direction of each pair of gateways thus has its own fault, which can change at any time.
 
 use crate::fault::{AppliedFaults, DatagramFault, Delivery, FaultSampler};
 use reedwalk_gossip::SigningKeys;
@@ -10,7 +10,7 @@
 use tokio::net::UdpSocket;
 use tokio::runtime::Handle;
 
-/// The longest datagram that is relayed whole, in bytes.
+/// Maximum size of a datagram that is relayed without truncation, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
 /// Receive buffer of each socket, in bytes: large enough that only a fault of this network loses a datagram.
@@ -21,9 +21,9 @@
 /// One datagram that a gateway has sent.
 #[derive(Clone, Copy)]
 struct SentDatagram {
-    /// When it arrived here.
+    /// When it arrived at this network.
     arrived_at: Instant,
-    /// When it was sent, by its own time stamp: microseconds of the Unix clock.
+    /// When it was sent, by its own timestamp: microseconds of the Unix clock.
     sent_at_us: u64,
     size_bytes: usize,
 }
@@ -31,7 +31,7 @@
 struct State {
     sampler: FaultSampler,
     applied: AppliedFaults,
-    /// The fault of all links that have none of their own.
+    /// The fault of all links that have no specific fault.
     default_fault: DatagramFault,
     /// Faults by sender and receiver.
     link_faults: HashMap<(usize, usize), DatagramFault>,
@@ -39,11 +39,11 @@
     partition: Option<Vec<usize>>,
     /// Gateways by the address that they send from.
     senders: HashMap<SocketAddr, usize>,
-    /// That address of each gateway, once it is known.
+    /// The source address of each gateway, once it is known.
     gateway_addresses: Vec<Option<SocketAddr>>,
     /// All datagrams of each gateway.
     sent: Vec<Vec<SentDatagram>>,
-    /// The keys that open datagrams, to read their time stamps.
+    /// The keys that decode datagrams, to read their timestamps.
     keys: SigningKeys,
     largest_datagram_bytes: usize,
 }
@@ -63,14 +63,14 @@
             self.applied.unknown_sender += 1;
             return None;
         };
-        self.count_sent(sender, bytes);
+        self.record_sent(sender, bytes);
         let fault = self.fault_between(sender, receiver);
         let deliveries = self.sampler.sample(&fault, bytes, &mut self.applied);
         Some(Forwarding { deliveries, sender, receiver_address })
     }
 
-    fn count_sent(&mut self, sender: usize, bytes: &[u8]) {
-        // A datagram that can't be opened counts at the time of its sender's last one.
+    fn record_sent(&mut self, sender: usize, bytes: &[u8]) {
+        // A datagram that can't be decoded is recorded with the timestamp of its sender's previous one.
         let last_sent_at_us = self.sent[sender].last().map_or(0, |sent| sent.sent_at_us);
         let sent_at_us = self.keys.decode(bytes).map_or(last_sent_at_us, |datagram| datagram.sent);
         let size_bytes = bytes.len();
@@ -92,20 +92,21 @@
 pub struct GossipNetwork {
     state: Arc<Mutex<State>>,
     sockets: Arc<Vec<UdpSocket>>,
-    /// The address by which the others know each gateway.
+    /// The address at which the others reach each gateway.
     pub addresses: Arc<Vec<SocketAddr>>,
 }
 
 impl GossipNetwork {
-    /// Starts a network for `count` gateways that sign with these keys; its tasks run on `runtime`. `seed` is that of the
-    /// faults.
+    /// Starts a network for `count` gateways that sign with these keys; its tasks run on `runtime`. `seed` seeds the
+    /// sampling of faults.
     ///
     /// # Panics
-    /// Where no socket can be opened.
+    /// Panics if no socket can be opened.
     pub fn start(count: usize, keys: SigningKeys, seed: u64, runtime: &Handle) -> Self {
         let _guard = runtime.enter();
         let sockets: Vec<_> = (0..count).map(|_| open_socket()).collect();
-        let address = |socket: &UdpSocket| socket.local_addr().expect("a bound socket");
+        let address =
+            |socket: &UdpSocket| socket.local_addr().expect("failed to read the local address of the socket");
         let addresses = sockets.iter().map(address).collect();
         let state = State {
             sampler: FaultSampler::new(seed),
@@ -131,7 +132,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no task of the network has panicked")
+        self.state.lock().expect("a task of the network has panicked")
     }
 
     /// Sets the address that a gateway sends from, after each start of its process.
@@ -142,7 +143,7 @@
         state.gateway_addresses[gateway] = Some(address);
     }
 
-    /// Sets the fault of all links that have none of their own.
+    /// Sets the fault of all links that have no specific fault.
     pub fn set_default_fault(&self, fault: DatagramFault) {
         self.state().default_fault = fault;
     }
@@ -162,18 +163,18 @@
         self.state().partition = None;
     }
 
-    /// The faults that were applied to datagrams so far.
+    /// Counts of the faults applied to datagrams so far.
     pub fn applied_faults(&self) -> AppliedFaults {
         self.state().applied
     }
 
-    /// Size of the longest datagram that any gateway has sent, in bytes.
+    /// Size of the largest datagram that any gateway has sent, in bytes.
     pub fn largest_datagram_bytes(&self) -> usize {
         self.state().largest_datagram_bytes
     }
 
-    /// The most bytes that a gateway has sent in any second, by the time stamps of its datagrams: on a loaded machine,
-    /// datagrams that were sent over some time may all arrive here at once.
+    /// The most bytes that a gateway has sent in any second, by the timestamps of its datagrams: on a loaded machine,
+    /// datagrams that were sent over a longer time may arrive at once.
     pub fn max_bytes_per_second(&self, gateway: usize) -> usize {
         let mut sent = self.state().sent[gateway].clone();
         sent.sort_unstable_by_key(|datagram| (datagram.sent_at_us, datagram.size_bytes));
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Sends each copy from the address by which the receiver knows the sender.
+    /// Sends each copy from the address at which the receiver reaches the sender.
     async fn deliver(&self, forwarding: Forwarding) {
         let Forwarding { deliveries, sender, receiver_address } = forwarding;
         for Delivery { delay, bytes } in deliveries {
@@ -225,9 +226,9 @@
 }
 
 fn open_socket() -> UdpSocket {
-    let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    socket.set_nonblocking(true).expect("a non-blocking socket");
+    let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("failed to bind a loopback socket");
+    socket.set_nonblocking(true).expect("failed to make the socket non-blocking");
     let buffer = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
-    buffer.expect("a receive buffer of this size");
-    UdpSocket::from_std(socket).expect("a socket of the runtime")
+    buffer.expect("failed to set the size of the receive buffer");
+    UdpSocket::from_std(socket).expect("failed to register the socket with the runtime")
 }
--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -2,14 +2,14 @@
 //! of the engines, the clients and the discovery server, and relays between them that inject faults. A run counts which faults
 //! were applied; a run in which its fault was never applied has failed.
 //!
-//! - [`cluster`]: starts and controls a cluster, and tells what was observed.
+//! - [`cluster`]: starts and controls a cluster, and reports what was observed.
 //! - [`load`]: an open-loop load on its gateways.
 //! - [`fault`]: faults of datagrams, and the counters of applied faults.
-//! - [`gossip_network`], [`udp_relay`], [`tcp_relay`]: where faults are injected into traffic.
+//! - [`gossip_network`], [`udp_relay`], [`tcp_relay`]: relays that inject faults into traffic.
 //! - [`process`]: one gateway as a process; [`rogue_gateway`]: a sender of false gossip.
 //! - [`scenario`]: descriptions of whole runs in KDL, which the program `run-scenario` runs; [`chart`]: its charts.
 //!
-//! Anything that goes wrong in here panics, since that is how a test fails.
+//! Errors in this crate panic, so that the test fails.
 //!
 //! ```no_run
 //! use reedwalk_fault_injection::{Cluster, ClusterConfig, DatagramFault, Load};
--- a/fault-injection/src/load.rs
+++ b/fault-injection/src/load.rs
@@ -1,4 +1,4 @@
-//! An open-loop load on the gateways of a cluster: arrivals at each gateway are sampled from a seed and wait for no response.
+//! An open-loop load on the gateways of a cluster: arrivals at each gateway are sampled from a seed, independent of responses.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -13,23 +13,23 @@
 use tokio::sync::watch;
 use tokio::time::timeout_at;
 
-/// Idle sessions to a gateway at most. More are opened for requests that arrive at once, and closed after them.
+/// Maximum number of idle sessions to a gateway. Concurrent requests open more, which are closed afterwards.
 const MAX_IDLE_SESSIONS: usize = 4;
-/// A client waits for a response this much longer than the timeout that its request states.
+/// Time that a client waits for a response beyond the timeout of its request.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
-/// Between two attempts of a client that reconnects.
+/// Delay between two attempts of a client that reconnects.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(150);
-/// A request that has no response this long after the end of the load fails the run.
+/// Time for open requests to complete after the end of the load; a request that takes longer fails the run.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often the end of the open requests is checked.
+/// Interval at which the number of open requests is checked.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The usual timeout that a request states, in milliseconds.
+/// Default timeout of a request, in milliseconds.
 const DEFAULT_TIMEOUT_MS: u64 = 4_000;
-/// The usual standard deviation of the logarithm of the work.
+/// Default standard deviation of the natural logarithm of the work.
 const DEFAULT_WORK_LOG_DEVIATION: f64 = 0.5;
-/// Schemas that the queries are spread over.
+/// Number of schemas over which the queries are distributed.
 const SCHEMAS: u64 = 64;
-/// Distance of the gateways' seeds: 2^64 divided by the golden ratio.
+/// Increment between the seeds of gateways: 2^64 divided by the golden ratio.
 const SEED_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// A class of requests of the load.
@@ -38,20 +38,20 @@
     route: &'static str,
     threads: f64,
     /// Its requests carry an idempotency key.
-    is_keyed: bool,
+    has_idempotency_key: bool,
 }
 
 /// In the order of [`Load::class_shares`].
 const CLASSES: [RequestClass; 3] = [
-    RequestClass { route: "lookup", threads: 1.0, is_keyed: false },
-    RequestClass { route: "statement", threads: 3.0, is_keyed: false },
-    RequestClass { route: "batch-post", threads: 2.0, is_keyed: true },
+    RequestClass { route: "lookup", threads: 1.0, has_idempotency_key: false },
+    RequestClass { route: "statement", threads: 3.0, has_idempotency_key: false },
+    RequestClass { route: "batch-post", threads: 2.0, has_idempotency_key: true },
 ];
 
 /// The load on a cluster.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Requests a second at each gateway.
+    /// Requests per second at each gateway.
     pub rates: Vec<f64>,
     /// Shares of lookups, statements and requests with an idempotency key.
     pub class_shares: [f64; 3],
@@ -59,17 +59,17 @@
     pub median_work_ms: f64,
     /// Standard deviation of the natural logarithm of the work.
     pub work_log_deviation: f64,
-    /// The timeout that each request states, in milliseconds.
+    /// Timeout of each request, in milliseconds.
     pub timeout_ms: u64,
     /// A client whose keyed request loses its connection, or is rejected on a later attempt, tries again with the same key
-    /// until this long after its first attempt; `None` where it never does.
+    /// until this long after its first attempt; `None` disables retries.
     pub retry_window: Option<Duration>,
     /// Seed of the arrivals, classes and works.
     pub seed: u64,
 }
 
 impl Load {
-    /// Lookups at each of `gateways` gateways: `rate` requests a second, each with a median of `median_work_ms`.
+    /// Lookups at each of `gateways` gateways: `rate` requests per second, each with a median of `median_work_ms`.
     pub fn lookups(gateways: usize, rate: f64, median_work_ms: f64, seed: u64) -> Self {
         Self {
             rates: vec![rate; gateways],
@@ -88,7 +88,7 @@
         let running = RunningLoad {
             records: Arc::default(),
             addresses: Arc::new(Mutex::new(addresses)),
-            is_on: Arc::new(watch::channel(true).0),
+            is_active: Arc::new(watch::channel(true).0),
             open_requests: Arc::default(),
             unsolicited_responses: Arc::default(),
         };
@@ -122,18 +122,18 @@
 #[derive(Clone)]
 pub struct RunningLoad {
     records: Arc<Mutex<Vec<RequestRecord>>>,
-    /// Where clients reach each gateway; `None` where they send it nothing.
+    /// The address at which clients reach each gateway; `None` if they send it no requests.
     addresses: Arc<Mutex<Vec<Option<SocketAddr>>>>,
-    is_on: Arc<watch::Sender<bool>>,
+    is_active: Arc<watch::Sender<bool>>,
     open_requests: Arc<AtomicUsize>,
     unsolicited_responses: Arc<AtomicUsize>,
 }
 
 impl RunningLoad {
-    /// Sets where clients reach a gateway from now on; with `None` they send it nothing more.
+    /// Sets the address at which clients reach a gateway from now on; with `None` they send it no more requests.
     ///
     /// # Panics
-    /// Where a task of the load has panicked, or there is no such gateway.
+    /// Panics if a task of the load has panicked, or there is no such gateway.
     pub fn set_address(&self, gateway: usize, address: Option<SocketAddr>) {
         self.addresses.lock().unwrap()[gateway] = address;
     }
@@ -145,12 +145,12 @@
     /// Ends the load, waits until the last request has ended, and returns all of its requests.
     ///
     /// # Panics
-    /// Where a request does not end in time.
+    /// Panics if a request does not end in time.
     pub fn end(&self) -> Vec<RequestRecord> {
-        self.is_on.send_replace(false);
+        self.is_active.send_replace(false);
         let deadline = Instant::now() + DRAIN_TIMEOUT;
         while self.open_requests.load(Ordering::Acquire) > 0 {
-            assert!(Instant::now() < deadline, "requests that never end");
+            assert!(Instant::now() < deadline, "requests are still open after the drain timeout");
             std::thread::sleep(DRAIN_POLL_INTERVAL);
         }
         self.records.lock().unwrap().clone()
@@ -171,7 +171,7 @@
 }
 
 impl SessionPool {
-    /// Takes an open session to this address, if there is one. Sessions that are of no more use are closed.
+    /// Takes an open session to this address, if there is one. Unusable sessions are closed.
     fn take(&self, address: SocketAddr) -> Option<Session> {
         let mut sessions = self.idle.lock().unwrap();
         sessions.retain(|(session_address, session)| {
@@ -196,14 +196,14 @@
 struct Request {
     class: &'static RequestClass,
     work_ms: f64,
-    /// The number that its trace ids and its idempotency key are made of.
+    /// Number from which its trace ids and its idempotency key are derived.
     number: u64,
 }
 
 /// Samples the arrivals at one gateway.
 struct ArrivalSampler {
     rng: StdRng,
-    gap_seconds: Exp<f64>,
+    interarrival_seconds: Exp<f64>,
     work_ms: LogNormal<f64>,
     class_shares: [f64; 3],
 }
@@ -218,15 +218,15 @@
         let gateway_seed = load.seed ^ (gateway as u64 + 1).wrapping_mul(SEED_STEP);
         Some(Self {
             rng: StdRng::seed_from_u64(gateway_seed),
-            gap_seconds: Exp::new(rate).unwrap(),
+            interarrival_seconds: Exp::new(rate).unwrap(),
             work_ms: LogNormal::new(load.median_work_ms.ln(), load.work_log_deviation).unwrap(),
             class_shares: load.class_shares,
         })
     }
 
-    /// Time until the next arrival.
-    fn gap(&mut self) -> Duration {
-        Duration::from_secs_f64(self.gap_seconds.sample(&mut self.rng))
+    /// Samples the time until the next arrival.
+    fn interarrival_time(&mut self) -> Duration {
+        Duration::from_secs_f64(self.interarrival_seconds.sample(&mut self.rng))
     }
 
     fn request(&mut self) -> Request {
@@ -251,13 +251,13 @@
     let unsolicited_responses = running.unsolicited_responses.clone();
     let sessions = SessionPool { idle: Arc::default(), unsolicited_responses };
     let mut next_arrival = tokio::time::Instant::now();
-    let mut is_on = running.is_on.subscribe();
+    let mut is_active = running.is_active.subscribe();
     loop {
-        next_arrival += sampler.gap();
+        next_arrival += sampler.interarrival_time();
         let request = sampler.request();
         tokio::select! {
             () = tokio::time::sleep_until(next_arrival) => {}
-            _ = is_on.wait_for(|is_on| !*is_on) => return,
+            _ = is_active.wait_for(|is_active| !*is_active) => return,
         }
         let Some(address) = running.address(gateway) else { continue };
         let client = Client {
@@ -286,15 +286,15 @@
 }
 
 impl Client {
-    /// Sends a request, and retries it as its client does.
+    /// Sends a request and retries it within the retry window.
     async fn send(&self, request: &Request, address: SocketAddr) -> RequestRecord {
         let sent_at = Instant::now();
-        let key = request.class.is_keyed.then(|| format!("{:032x}", request.number));
+        let key = request.class.has_idempotency_key.then(|| format!("{:032x}", request.number));
         let retry_deadline = self.retry_window.filter(|_| key.is_some()).map(|window| sent_at + window);
         let (mut attempts, mut address) = (0, Some(address));
         loop {
             attempts += 1;
-            // Each attempt has a trace id of its own.
+            // Each attempt has its own trace id.
             let trace = format!("{:016x}", request.number.wrapping_add(attempts as u64 - 1));
             let query = self.query(request, &trace, key.as_deref(), attempts > 1);
             let outcome = match address {
--- a/fault-injection/src/process.rs
+++ b/fault-injection/src/process.rs
@@ -1,5 +1,5 @@
-//! One gateway as a process of the operating system: started, paused, resumed and killed by its id, and started again under
-//! the same name and address. Its log is read with the times of its lines, and its CPU time and memory from `/proc`.
+//! A gateway that runs as an operating system process: it is started, paused, resumed and killed by its id, and restarted with
+//! the same name and address. Log lines are recorded with their read times; CPU time and memory are read from `/proc`.
 
 use reedwalk_testkit::config::settings;
 use rustix::process::{Pid, Signal, kill_process};
@@ -13,26 +13,26 @@
 
 /// A process that does not serve within this time fails the run.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// Starts of a process until it serves, at most: its address may have been taken for a moment while it was not running.
-const MAX_STARTS: usize = 40;
-/// Between the end of a process that did not serve and its next start.
+/// Maximum start attempts until a process serves: another process may briefly hold its address while it is not running.
+const MAX_START_ATTEMPTS: usize = 40;
+/// Delay between the exit of a process that did not serve and its next start.
 const START_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How often the log is searched while a process starts.
+/// Interval at which the log is searched while a process starts.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Stack of the thread that reads a log, in bytes. Hundreds of them run at once.
+/// Stack size of a log reader thread, in bytes; small because hundreds of them run at once.
 const LOG_READER_STACK_BYTES: usize = 128 * 1024;
 
 /// A free port of the loopback interface, chosen by the operating system.
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// What a gateway process may use, by its configuration.
+/// Resource limits in the configuration of a gateway process.
 const LIMIT_CORES: f64 = 1.0;
 const LIMIT_MEMORY_MB: u64 = 192;
 const LIMIT_SOCKETS: u64 = 1024;
 
 /// Length of a tick of the CPU times in `/proc/PID/stat`, in milliseconds.
 const CPU_TICK_MS: f64 = 10.0;
-/// Fields of `/proc/PID/stat` after the program's name: ticks in user mode and in the kernel.
+/// Indexes of the fields of `/proc/PID/stat` after the program name: CPU ticks in user mode and in kernel mode.
 const USER_TICKS_FIELD: usize = 11;
 const KERNEL_TICKS_FIELD: usize = 12;
 const KB_PER_MB: f64 = 1024.0;
@@ -45,7 +45,7 @@
 pub struct Program {
     /// The executable file.
     pub path: PathBuf,
-    /// Where configurations, operators' files and state folders are written.
+    /// Folder for configurations, operator's files and state folders.
     pub folder: PathBuf,
 }
 
@@ -60,11 +60,11 @@
     pub known_events: Value,
     /// The discovery server, if there is one.
     pub discovery_server: Option<SocketAddr>,
-    /// The address of each gateway for gossip; empty where gossip is off.
+    /// Gossip address of each gateway; empty if gossip is off.
     pub gossip_addresses: Vec<SocketAddr>,
     /// The operator's file, if any; `@state@` in it stands for the gateway's state folder.
     pub operator_file: Option<String>,
-    /// Engines deduplicate requests with an idempotency key within their cell only.
+    /// Whether engines deduplicate requests with an idempotency key only within their cell.
     pub deduplicates_by_cell: bool,
     /// Seed of the gateway's random decisions.
     pub seed: u64,
@@ -73,7 +73,7 @@
 /// A line of a gateway's log.
 #[derive(Clone, Debug)]
 pub struct LogLine {
-    /// When it was read.
+    /// Time at which it was read.
     pub at: Instant,
     /// Its text, without the line break.
     pub text: String,
@@ -92,9 +92,9 @@
     running: Option<RunningProcess>,
     /// The log of processes that have ended.
     earlier_log: Vec<LogLine>,
-    /// The address of its clients, which is the same from the first start on.
+    /// The address for its clients, which stays the same after the first start.
     pub address: SocketAddr,
-    /// The address of its console, which is a new one with each process.
+    /// The address of its console, which changes with each process.
     pub console: SocketAddr,
     /// The address that it sends gossip from, if it does.
     pub gossip_address: Option<SocketAddr>,
@@ -188,11 +188,12 @@
     /// Starts its process. [`GatewayProcess::wait_until_serving`] waits until it serves.
     ///
     /// # Panics
-    /// Where it runs already, or can't be started.
+    /// Panics if it is already running, or can't be started.
     pub fn start(&mut self) {
-        assert!(self.running.is_none(), "gateway {} runs already", self.config.number);
-        let mut child = self.command().spawn().expect("the gateway program starts");
-        let lines = BufReader::new(child.stderr.take().expect("a piped log")).lines();
+        assert!(self.running.is_none(), "gateway {} is already running", self.config.number);
+        let mut child = self.command().spawn().expect("failed to start the gateway program");
+        let lines =
+            BufReader::new(child.stderr.take().expect("the standard error stream is not piped")).lines();
         let log = Arc::default();
         spawn_log_reader(lines, Arc::clone(&log));
         self.running = Some(RunningProcess { child, log });
@@ -205,32 +206,38 @@
         let running = self.running.as_mut().expect("the process was started");
         loop {
             // The end is checked before the log is read: the log of a process that has ended is complete.
-            let has_ended = running.child.try_wait().expect("a child process").is_some();
+            let has_ended =
+                running.child.try_wait().expect("failed to query the exit status of the process").is_some();
             let log = running.log.lock().unwrap().clone();
             let find =
                 |text: &str| log.iter().find(|line| line.text.contains(text)).map(|line| line.text.clone());
             let (serving, gossip) = (find("serving"), find("gossip started"));
             if let Some(line) = serving.filter(|_| !has_gossip || gossip.is_some()) {
-                self.address = value_after(&line, "mysql: ").expect("the address of the clients");
-                self.console = value_after(&line, "console: Some(").expect("the address of the console");
+                self.address = value_after(&line, "mysql: ").expect("the log line has no client address");
+                self.console =
+                    value_after(&line, "console: Some(").expect("the log line has no console address");
                 self.gossip_address = gossip.and_then(|line| value_after(&line, "listen: "));
                 return true;
             }
             if has_ended {
                 return false;
             }
-            assert!(Instant::now() < deadline, "gateway {} did not start: {log:?}", self.config.number);
+            assert!(
+                Instant::now() < deadline,
+                "gateway {} did not start in time: {log:?}",
+                self.config.number
+            );
             std::thread::sleep(START_POLL_INTERVAL);
         }
     }
 
-    /// Waits until its process serves. A process that ends instead is started again, since its address may have been taken
-    /// for a moment.
+    /// Waits until its process serves. A process that exits instead is started again, since another process may have held its
+    /// address briefly.
     ///
     /// # Panics
-    /// Where it does not serve in time, or ends too often.
+    /// Panics if it does not serve in time, or ends too often.
     pub fn wait_until_serving(&mut self) {
-        for _ in 0..MAX_STARTS {
+        for _ in 0..MAX_START_ATTEMPTS {
             if self.wait_for_start() {
                 return;
             }
@@ -238,10 +245,10 @@
             std::thread::sleep(START_RETRY_DELAY);
             self.start();
         }
-        panic!("gateway {} ends at each start: {:?}", self.config.number, self.earlier_log.last());
+        panic!("gateway {} exited at every start: {:?}", self.config.number, self.earlier_log.last());
     }
 
-    /// Waits for the end of its process and takes over its log.
+    /// Waits until its process has exited and keeps its log.
     fn collect_log(&mut self) {
         if let Some(mut running) = self.running.take() {
             let _ = running.child.wait();
@@ -249,31 +256,31 @@
         }
     }
 
-    /// Sends a signal; whether there was a process to receive it.
+    /// Sends a signal; returns whether there was a process to receive it.
     fn signal(&self, signal: Signal) -> bool {
         let Some(running) = &self.running else { return false };
         let pid = Pid::from_raw(running.child.id() as i32).expect("a process has an id");
         kill_process(pid, signal).is_ok()
     }
 
-    /// Kills its process with SIGKILL and waits for its end; whether there was one.
+    /// Kills its process with SIGKILL and waits for its end; returns whether there was one.
     pub fn kill(&mut self) -> bool {
         let was_running = self.signal(Signal::KILL);
         self.collect_log();
         was_running
     }
 
-    /// Suspends its process with SIGSTOP; whether there is one.
+    /// Suspends its process with SIGSTOP; returns whether there is one.
     pub fn pause(&self) -> bool {
         self.signal(Signal::STOP)
     }
 
-    /// Continues its process with SIGCONT; whether there is one.
+    /// Continues its process with SIGCONT; returns whether there is one.
     pub fn resume(&self) -> bool {
         self.signal(Signal::CONT)
     }
 
-    /// Asks its process with SIGHUP to reload its configuration; whether there is one.
+    /// Asks its process with SIGHUP to reload its configuration; returns whether there is one.
     pub fn reload(&self) -> bool {
         self.signal(Signal::HUP)
     }
@@ -283,19 +290,24 @@
         self.running.is_some()
     }
 
-    /// The exit status of a process that has ended by itself, as text.
+    /// The exit status of a process that has exited on its own, as text.
     ///
     /// # Panics
-    /// Where the operating system can't tell.
+    /// Panics if the operating system can't tell.
     pub fn crash_report(&mut self) -> Option<String> {
-        let status = self.running.as_mut()?.child.try_wait().expect("a child process")?;
+        let status = self
+            .running
+            .as_mut()?
+            .child
+            .try_wait()
+            .expect("failed to query the exit status of the process")?;
         Some(format!("gateway {} ended: {status}", self.config.number))
     }
 
     /// The log of all its processes.
     ///
     /// # Panics
-    /// Where the reader of the log has panicked.
+    /// Panics if the reader of the log has panicked.
     pub fn log(&self) -> Vec<LogLine> {
         let mut log = self.earlier_log.clone();
         if let Some(running) = &self.running {
@@ -304,10 +316,10 @@
         log
     }
 
-    /// When the first line at `since` or later was logged that contains one of these texts.
+    /// Time of the first log line at `since` or later that contains one of these texts.
     ///
     /// # Panics
-    /// Where the reader of the log has panicked.
+    /// Panics if the reader of the log has panicked.
     pub fn first_logged(&self, texts: &[&str], since: Instant) -> Option<Instant> {
         let is_match =
             |line: &&LogLine| line.at >= since && texts.iter().any(|text| line.text.contains(text));
@@ -319,7 +331,7 @@
     /// How many lines at `since` or later contain this text.
     ///
     /// # Panics
-    /// Where the reader of the log has panicked.
+    /// Panics if the reader of the log has panicked.
     pub fn count_logged(&self, text: &str, since: Instant) -> usize {
         self.log().iter().filter(|line| line.at >= since && line.text.contains(text)).count()
     }
@@ -352,7 +364,7 @@
     std::fs::write(path, text).expect("the folder is writable");
 }
 
-/// Reads a log in a thread of its own until the process closes it.
+/// Reads a log on a dedicated thread until the process closes it.
 fn spawn_log_reader(lines: Lines<BufReader<ChildStderr>>, log: Arc<Mutex<Vec<LogLine>>>) {
     let read = move || {
         for text in lines.map_while(Result::ok) {
@@ -360,5 +372,5 @@
         }
     };
     let reader = std::thread::Builder::new().stack_size(LOG_READER_STACK_BYTES).spawn(read);
-    reader.expect("a thread starts");
+    reader.expect("failed to start the log reader thread");
 }
--- a/fault-injection/src/rogue_gateway.rs
+++ b/fault-injection/src/rogue_gateway.rs
@@ -1,5 +1,5 @@
-//! A rogue gateway: it has a gateway's place in the cluster and sends whatever gossip it likes, with or without the right key.
-//! It writes its datagrams with the program's own crate, so that they are well formed.
+//! A rogue gateway, which replaces a gateway of the cluster and sends arbitrary gossip, with or without a valid key. It encodes
+//! datagrams with the gossip crate of the gateway, so that they are well formed.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -9,21 +9,21 @@
 
 /// The time to live of each report, in hundredths of a second.
 const REPORT_TTL_CENTIS: u16 = 1_000;
-/// Engines in a datagram that reports them as failing.
+/// Number of engines in a datagram that reports them as failing.
 const FAILING_ENGINES_PER_DATAGRAM: usize = 6;
-/// Engines in a datagram that reports them as slow and restarted, which takes two reports each.
+/// Number of engines in a datagram that reports them as slow and restarted, with two reports per engine.
 const SLOW_ENGINES_PER_DATAGRAM: usize = 4;
-/// The highest slowness that a report can state.
+/// Maximum slowness that a report can carry.
 const MAX_SLOWNESS: u8 = 255;
-/// The start of an engine that has not restarted, in a report.
-const LONG_AGO: u32 = 0;
+/// Start time in a report about an engine that has not restarted.
+const NOT_RESTARTED: u32 = 0;
 /// Length of a random datagram in bytes.
 const RANDOM_DATAGRAM_BYTES: usize = 200;
 
-/// A sender of false gossip, in the place of a gateway.
+/// A sender of false gossip that replaces a gateway.
 pub struct RogueGateway {
     socket: UdpSocket,
-    /// Where it sends its datagrams from.
+    /// The source address of its datagrams.
     pub address: SocketAddr,
     /// The gateway that it claims to be.
     claimed_sender: u16,
@@ -37,7 +37,7 @@
 }
 
 fn since_unix_epoch() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock after 1970")
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("the system clock is set before 1970")
 }
 
 fn unix_us() -> u64 {
@@ -45,17 +45,17 @@
 }
 
 impl RogueGateway {
-    /// A rogue gateway with this number, which sends to all other gateways at their addresses. It signs with `key`, if it has
-    /// one; `seed` is that of its random datagrams.
+    /// A rogue gateway with this number, which sends to all other gateways at their addresses. It signs with `key`,
+    /// if one is given; `seed` seeds its random datagrams.
     ///
     /// # Panics
-    /// Where no socket can be opened, or the key is too short.
+    /// Panics if no socket can be opened, or the key is too short.
     pub fn new(number: usize, gateways: &[SocketAddr], key: Option<&[u8]>, seed: u64) -> Self {
-        let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-        socket.set_nonblocking(true).expect("a non-blocking socket");
-        let address = socket.local_addr().expect("a bound socket");
+        let socket = UdpSocket::bind("127.0.0.1:0").expect("failed to bind a loopback socket");
+        socket.set_nonblocking(true).expect("failed to make the socket non-blocking");
+        let address = socket.local_addr().expect("failed to read the local address of the socket");
         let others = gateways.iter().enumerate().filter(|(gateway, _)| *gateway != number);
-        let signing_key = key.map(|key| SigningKey::new(key).expect("a key that is long enough"));
+        let signing_key = key.map(|key| SigningKey::new(key).expect("the signing key is too short"));
         Self {
             socket,
             address,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// A datagram with these reports, with a time stamp above that of the last one.
+    /// A datagram with these reports and a timestamp later than that of the previous one.
     fn datagram(&mut self, facts: Vec<Fact>) -> Datagram {
         self.last_sent_us = (self.last_sent_us + 1).max(unix_us());
         Datagram {
@@ -87,10 +87,10 @@
         }
     }
 
-    /// Reports these engines as failing, for as long as a report can hold.
+    /// Reports these engines as failing, with the time to live of all its reports.
     pub fn report_failing(&mut self, engines: &[String]) {
         for engines in engines.chunks(FAILING_ENGINES_PER_DATAGRAM) {
-            let reports = engines.iter().map(|engine| report(engine, LONG_AGO, FactKind::Failing, 0));
+            let reports = engines.iter().map(|engine| report(engine, NOT_RESTARTED, FactKind::Failing, 0));
             let facts = reports.collect();
             let datagram = self.datagram(facts);
             self.last_datagram = self.keys.encode(&datagram);
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Reports these engines as being as slow as can be stated, and as just restarted.
+    /// Reports these engines as slow, with the maximum slowness, and as just restarted.
     pub fn report_slow_and_restarted(&mut self, engines: &[String]) {
         let now_seconds = since_unix_epoch().as_secs() as u32;
         for engines in engines.chunks(SLOW_ENGINES_PER_DATAGRAM) {
             let reports = |engine: &String| {
-                let slow = report(engine, LONG_AGO, FactKind::Slow, MAX_SLOWNESS);
+                let slow = report(engine, NOT_RESTARTED, FactKind::Slow, MAX_SLOWNESS);
                 let restarted = report(engine, now_seconds, FactKind::Restarted, 0);
                 [slow, restarted]
             };
@@ -122,12 +122,12 @@
         self.claimed_sender = own_number;
     }
 
-    /// Begins a new incarnation, as a gateway that was restarted does.
+    /// Begins a new incarnation, as a restarted gateway does.
     pub fn begin_incarnation(&mut self) {
         self.incarnation += 1;
     }
 
-    /// Sends the last datagram that reported failing engines once more.
+    /// Sends the last datagram that reported failing engines again.
     pub fn replay(&self) {
         self.send_to_all(&self.last_datagram);
     }
--- a/fault-injection/src/scenario.rs
+++ b/fault-injection/src/scenario.rs
@@ -7,17 +7,17 @@
 //! | --- | --- | --- |
 //! | `gateways COUNT` | gateway processes, 1 to 400 | required |
 //! | `engines COUNT cores=NUMBER` | engines, 1 or more, and the cores of each | required; 8 cores |
-//! | `zones COUNT` | zones of gateways, which they join in turn; each zone has relays of its own to the engines | 0: no relays |
-//! | `slow-start` | all engines start together with the cluster and begin with a slow start | they are warmed up |
+//! | `zones COUNT` | zones of gateways, which are assigned round-robin; each zone has its own relays to the engines | 0: no relays |
+//! | `slow-start` | all engines start together with the cluster and begin with a slow start | engines are warm |
 //! | `gossip "on"` or `"off"` | whether gateways exchange gossip | on |
-//! | `load rate=NUMBER work=TIME statements=SHARE keyed-requests=SHARE` | requests a second over all gateways, the median of their work on one core, the shares of statements and of requests with an idempotency key; the rest are lookups | 100, 50 ms, 0, 0 |
+//! | `load rate=NUMBER work=TIME statements=SHARE keyed-requests=SHARE` | requests per second over all gateways, the median of their work on one core, the shares of statements and of requests with an idempotency key; the rest are lookups | 100, 50 ms, 0, 0 |
 //! | `duration TIME` | how long the scenario runs | 10 s |
-//! | `at TIME { STEPS }` | steps that are taken at this time after the start | none |
+//! | `at TIME { STEPS }` | steps that are executed at this time after the start | none |
 //!
 //! | step | meaning |
 //! | --- | --- |
-//! | `gossip-links loss=SHARE duplication=SHARE corruption=SHARE delay=TIME jitter=TIME` | sets the fault of all links between gateways ([`DatagramFault`]); what is left out is 0 |
-//! | `partition COUNT` | no gossip passes between this many groups of gateways, which they join in turn |
+//! | `gossip-links loss=SHARE duplication=SHARE corruption=SHARE delay=TIME jitter=TIME` | sets the fault of all links between gateways ([`DatagramFault`]); omitted properties are 0 |
+//! | `partition COUNT` | no gossip passes between this many groups of gateways, which are assigned round-robin |
 //! | `heal` | ends the partition |
 //! | `engine NUMBER BEHAVIOR` | an engine is from now on `"healthy"`, `"failing"`, `"slow"`, `"silent"` or `"dead"` |
 //! | `engine-link ZONE ENGINE STATE` | connections from the gateways of a zone to an engine are `"stalled"`, `"reset"` or `"open"` |
@@ -28,7 +28,7 @@
 //!
 //! A TIME is text such as `"250ms"` or `"3s"`, at most an hour; a SHARE is between 0 and 1. GATEWAYS are numbers from 0, as
 //! arguments (`kill 3 5`), as a range (`kill from=10 to=19`) or both. Gateways, engines and zones are counted before the first
-//! step that names them. Steps of the same time are taken in the order of the file.
+//! step that names them. Steps with the same time are executed in the order of the file.
 
 use crate::fault::DatagramFault;
 use parser::Parser;
@@ -38,15 +38,15 @@
 
 mod parser;
 
-/// Gateways of a scenario at most.
+/// Maximum number of gateways in a scenario.
 const MAX_GATEWAYS: usize = 400;
 
-/// What a scenario does at a time of its run.
+/// An action of a scenario at a given time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Sets the fault of all links between gateways.
     SetGossipLinks(DatagramFault),
-    /// Partitions the gateways into groups, which they join in turn.
+    /// Partitions the gateways into groups, which are assigned round-robin.
     Partition {
         /// How many groups there are.
         groups: usize,
@@ -90,25 +90,25 @@
     Open,
 }
 
-/// A step and when it is taken.
+/// A step and the time at which it is executed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledStep {
     /// Time after the start of the scenario.
     pub at: Duration,
-    /// What is done.
+    /// The step.
     pub step: Step,
 }
 
 /// A whole scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name, with which its charts' file names begin.
+    /// Its name, which is the prefix of the file names of its charts.
     pub name: String,
     /// Seed of the faults and of the load.
     pub seed: u64,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
     /// Cores of each engine.
     pub cores: f64,
@@ -116,9 +116,9 @@
     pub zones: usize,
     /// All engines start together with the cluster.
     pub slow_start: bool,
-    /// Gateways exchange gossip.
+    /// Whether gateways exchange gossip.
     pub gossip: bool,
-    /// Requests a second over all gateways.
+    /// Requests per second over all gateways.
     pub rate: f64,
     /// Median of the work of a request, in milliseconds on one core.
     pub work_ms: f64,
@@ -128,12 +128,12 @@
     pub keyed_requests: f64,
     /// How long it runs.
     pub duration: Duration,
-    /// What is done, in the order of the times.
+    /// The steps, in order of their times.
     pub steps: Vec<ScheduledStep>,
 }
 
 impl Default for Scenario {
-    /// The settings that a description may leave out; without gateways and engines.
+    /// Defaults of the optional settings; gateways and engines are 0.
     fn default() -> Self {
         Self {
             name: String::new(),
@@ -154,7 +154,7 @@
     }
 }
 
-/// What is wrong with a description, and where.
+/// An error in a description and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScenarioError {
     /// The line of the file, from 1.
@@ -174,7 +174,7 @@
 /// Reads the text of a description.
 ///
 /// # Errors
-/// The first error of the text.
+/// Returns the first error in the text.
 pub fn read(source: &str) -> Result<Scenario, ScenarioError> {
     Parser::new(source).scenario()
 }
--- a/fault-injection/src/scenario/parser.rs
+++ b/fault-injection/src/scenario/parser.rs
@@ -9,14 +9,14 @@
 const SETTINGS: &str = "gateways, engines, zones, slow-start, gossip, load, duration, at";
 const STEPS: &str = "gossip-links, partition, heal, engine, engine-link, kill, restart, pause, resume";
 
-/// A time of a description at most, in seconds.
+/// Longest time that a description may contain, in seconds.
 const MAX_SECONDS: f64 = 3600.0;
 const SECONDS_PER_MILLISECOND: f64 = 1e-3;
 const MS_PER_SECOND: f64 = 1e3;
 
 type Result<T> = std::result::Result<T, ScenarioError>;
 
-/// Parses a text, in which it finds the line of a node.
+/// Parses the text of a description and finds the line of each node for errors.
 pub(super) struct Parser<'a> {
     source: &'a str,
 }
@@ -29,7 +29,7 @@
     pub(super) fn scenario(&self) -> Result<Scenario> {
         let document = KdlDocument::parse(self.source).map_err(|error| self.syntax_error(&error))?;
         let [node] = document.nodes() else {
-            let message = "expected one 'scenario' and nothing beside it".to_owned();
+            let message = "expected exactly one 'scenario' node and no other".to_owned();
             return Err(ScenarioError { line: 1, message });
         };
         let name = node.entries().iter().find(|entry| entry.name().is_none());
@@ -167,7 +167,7 @@
         let engine = self.number(node, arguments.get(index).copied(), "the number of an engine")? as usize;
         if engine >= scenario.engines {
             let last = scenario.engines - 1;
-            return self.error(node, format!("there is no engine {engine}, but 0 to {last}"));
+            return self.error(node, format!("there is no engine {engine}; expected 0 to {last}"));
         }
         Ok(engine)
     }
@@ -190,7 +190,7 @@
         Ok(numbers)
     }
 
-    /// The arguments of a node without a name, and a check that it has no properties but these.
+    /// The unnamed arguments of a node; fails if the node has properties other than these.
     fn arguments<'n>(&self, node: &'n KdlNode, properties: &[&str]) -> Result<Vec<&'n KdlValue>> {
         let mut names = node.entries().iter().filter_map(|entry| entry.name());
         if let Some(unknown) = names.find(|name| !properties.contains(&name.value())) {
@@ -206,7 +206,7 @@
         Ok(self.arguments(node, properties)?.first().copied())
     }
 
-    /// The first argument as a number of things.
+    /// The first argument as a count.
     fn count(&self, node: &KdlNode, properties: &[&str]) -> Result<usize> {
         let argument = self.first_argument(node, properties)?;
         Ok(self.number(node, argument, "a number")? as usize)
@@ -221,7 +221,7 @@
         }
     }
 
-    /// A value as a number that is not negative; `expected` says what the node takes there.
+    /// A value as a number that is not negative; `expected` describes the expected value in the error.
     fn number(&self, node: &KdlNode, value: Option<&KdlValue>, expected: &str) -> Result<f64> {
         let number = value.and_then(|value| value.as_float().or(value.as_integer().map(|n| n as f64)));
         match number.filter(|number| number.is_finite() && *number >= 0.0) {
@@ -249,7 +249,7 @@
         }
     }
 
-    /// A property as a time; no time where it is left out.
+    /// A property as a time; zero if it is omitted.
     fn duration_property(&self, node: &KdlNode, name: &str) -> Result<Duration> {
         node.get(name).map_or(Ok(Duration::ZERO), |value| self.duration(node, Some(value)))
     }
--- a/fault-injection/src/scenario/tests.rs
+++ b/fault-injection/src/scenario/tests.rs
@@ -43,7 +43,7 @@
     let cases = [
         (" gateway 3\n}", 4, "unknown setting 'gateway'"),
         (" at \"soon\" { heal }\n}", 4, "a time such as"),
-        (" at \"1s\" {\n  engine 7 \"failing\"\n }\n}", 5, "no engine 7, but 0 to 1"),
+        (" at \"1s\" {\n  engine 7 \"failing\"\n }\n}", 5, "no engine 7; expected 0 to 1"),
         (" at \"1s\" {\n  engine 1 \"ill\"\n }\n}", 5, "\"healthy\", \"failing\""),
         (" at \"1s\" {\n\n  kill 4\n }\n}", 6, "from 0 to 3"),
         (" at \"1s\" { explode }\n}", 4, "unknown step 'explode'"),
--- a/fault-injection/src/tcp_relay.rs
+++ b/fault-injection/src/tcp_relay.rs
@@ -13,19 +13,19 @@
 /// Bytes that one direction of a connection reads at once.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// The faults of the connections through a relay. The default has none.
+/// The faults of the connections through a relay. By default there are none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ConnectionFault {
     /// Bytes from the client to the target are held back until the fault is lifted, as in a network that is partitioned
     /// and heals. Connections are still accepted, since the kernel does that.
     pub stall_requests: bool,
-    /// Bytes from the target to the client are held back likewise.
+    /// Bytes from the target to the client are held back in the same way.
     pub stall_responses: bool,
     /// All connections are reset, open ones and new ones.
     pub reset: bool,
     /// Delay of all bytes, in each direction.
     pub delay: Duration,
-    /// Bytes a second in each direction of each connection; `None` is without a limit.
+    /// Bytes per second in each direction of each connection; `None` means no limit.
     pub bytes_per_second: Option<f64>,
 }
 
@@ -59,7 +59,7 @@
 /// A relay in front of one target. Clones share the relay.
 #[derive(Clone, Debug)]
 pub struct TcpRelay {
-    /// Where clients connect to reach the target.
+    /// The address to which clients connect to reach the target.
     pub address: SocketAddr,
     fault: Arc<watch::Sender<ConnectionFault>>,
     counters: Arc<Counters>,
@@ -69,13 +69,14 @@
     /// Starts a relay to `target` on a free port of the loopback interface; its tasks run on `runtime`.
     ///
     /// # Panics
-    /// Where no socket can be opened.
+    /// Panics if no socket can be opened.
     pub fn start(target: SocketAddr, runtime: &Handle) -> Self {
         let _guard = runtime.enter();
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-        listener.set_nonblocking(true).expect("a non-blocking socket");
-        let listener = TcpListener::from_std(listener).expect("a socket of the runtime");
-        let address = listener.local_addr().expect("a bound socket");
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback socket");
+        listener.set_nonblocking(true).expect("failed to make the socket non-blocking");
+        let listener =
+            TcpListener::from_std(listener).expect("failed to register the socket with the runtime");
+        let address = listener.local_addr().expect("failed to read the local address of the socket");
         let (fault, fault_receiver) = watch::channel(ConnectionFault::default());
         let counters = Arc::new(Counters::default());
         let connection_counters = counters.clone();
@@ -92,7 +93,7 @@
         Self { address, fault: Arc::new(fault), counters }
     }
 
-    /// Applies this fault to all connections from now on, in place of the one before.
+    /// Applies this fault to all connections from now on, replacing the previous one.
     pub fn set_fault(&self, fault: ConnectionFault) {
         self.fault.send_replace(fault);
     }
@@ -129,8 +130,8 @@
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
     let was_stalled = AtomicBool::new(false);
     let is_reset = {
-        let (mut client_reader, mut client_writer) = (Half(&client), Half(&client));
-        let (mut server_reader, mut server_writer) = (Half(&server), Half(&server));
+        let (mut client_reader, mut client_writer) = (StreamHalf(&client), StreamHalf(&client));
+        let (mut server_reader, mut server_writer) = (StreamHalf(&server), StreamHalf(&server));
         let requests = relay_direction(
             &mut client_reader,
             &mut server_writer,
@@ -162,9 +163,9 @@
 }
 
 /// One half of a stream, for reading or for writing.
-struct Half<'a>(&'a TcpStream);
+struct StreamHalf<'a>(&'a TcpStream);
 
-impl Half<'_> {
+impl StreamHalf<'_> {
     async fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
         loop {
             self.0.readable().await?;
@@ -188,10 +189,10 @@
     }
 }
 
-/// Copies one direction of a connection until an end closes it, with the faults that hold when bytes arrive.
+/// Copies one direction of a connection until an end closes it, with the faults that are set when bytes arrive.
 async fn relay_direction(
-    reader: &mut Half<'_>,
-    writer: &mut Half<'_>,
+    reader: &mut StreamHalf<'_>,
+    writer: &mut StreamHalf<'_>,
     mut faults: watch::Receiver<ConnectionFault>,
     is_stalled: impl Fn(&ConnectionFault) -> bool,
     was_stalled: &AtomicBool,
@@ -217,7 +218,7 @@
     }
 }
 
-/// How long `size` bytes take at this rate; no time without a limit.
+/// How long `size` bytes take at this rate; zero without a limit.
 fn transfer_time(size: usize, bytes_per_second: Option<f64>) -> Duration {
     bytes_per_second.map_or(Duration::ZERO, |rate| Duration::from_secs_f64(size as f64 / rate))
 }
--- a/fault-injection/src/udp_relay.rs
+++ b/fault-injection/src/udp_relay.rs
@@ -1,5 +1,5 @@
-//! A UDP relay for requests and responses, such as those of the discovery server. Each client has a socket of its own towards
-//! the target, and each direction a fault of its own.
+//! A UDP relay for requests and responses, such as those of the discovery server. The relay opens a separate socket to the
+//! target for each client and applies a separate fault to each direction.
 
 use crate::fault::{AppliedFaults, DatagramFault, Delivery, FaultSampler};
 use std::collections::HashMap;
@@ -8,10 +8,10 @@
 use tokio::net::UdpSocket;
 use tokio::runtime::Handle;
 
-/// Clients of a relay at most. A run with more has failed.
+/// Maximum number of clients of a relay. A run with more fails.
 const MAX_CLIENTS: usize = 1024;
 
-/// The longest datagram that is relayed whole, in bytes.
+/// Maximum size of a datagram that is relayed without truncation, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
 
 #[derive(Clone, Copy)]
@@ -30,23 +30,24 @@
 /// A relay in front of one target. Clones share the relay.
 #[derive(Clone)]
 pub struct UdpRelay {
-    /// Where clients send their requests.
+    /// The address to which clients send their requests.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl UdpRelay {
-    /// Starts a relay to `target` on a free port of the loopback interface; its tasks run on `runtime`. `seed` is that of
-    /// the faults.
+    /// Starts a relay to `target` on a free port of the loopback interface; its tasks run on `runtime`. `seed` seeds the
+    /// sampling of faults.
     ///
     /// # Panics
-    /// Where no socket can be opened.
+    /// Panics if no socket can be opened.
     pub fn start(target: SocketAddr, seed: u64, runtime: &Handle) -> Self {
         let _guard = runtime.enter();
-        let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a free port");
-        socket.set_nonblocking(true).expect("a non-blocking socket");
-        let socket = Arc::new(UdpSocket::from_std(socket).expect("a socket of the runtime"));
-        let address = socket.local_addr().expect("a bound socket");
+        let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("failed to bind a loopback socket");
+        socket.set_nonblocking(true).expect("failed to make the socket non-blocking");
+        let socket =
+            Arc::new(UdpSocket::from_std(socket).expect("failed to register the socket with the runtime"));
+        let address = socket.local_addr().expect("failed to read the local address of the socket");
         let state = State {
             sampler: FaultSampler::new(seed),
             request_fault: DatagramFault::default(),
@@ -58,20 +59,20 @@
         relay
     }
 
-    /// Sets the faults of requests and of responses, in place of those before.
+    /// Sets the faults of requests and of responses, replacing the previous ones.
     ///
     /// # Panics
-    /// Where a task of the relay has panicked.
+    /// Panics if a task of the relay has panicked.
     pub fn set_faults(&self, request_fault: DatagramFault, response_fault: DatagramFault) {
         let mut state = self.state.lock().unwrap();
         state.request_fault = request_fault;
         state.response_fault = response_fault;
     }
 
-    /// The faults that were applied to datagrams so far.
+    /// Counts of the faults applied to datagrams so far.
     ///
     /// # Panics
-    /// Where a task of the relay has panicked.
+    /// Panics if a task of the relay has panicked.
     pub fn applied_faults(&self) -> AppliedFaults {
         self.state.lock().unwrap().applied
     }
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Sends the copies of a datagram that its direction's fault lets pass, each after its delay.
+    /// Sends the copies of a datagram that the fault of its direction lets through, each after its delay.
     fn deliver<F: Future<Output = ()> + Send + 'static>(
         &self,
         direction: Direction,
--- a/fault-injection/tests/rogue.rs
+++ b/fault-injection/tests/rogue.rs
@@ -1,5 +1,5 @@
-//! Each checker detects a gateway that breaks just its rule: a rogue gateway that sends to the engines, or responds to the
-//! clients, as a gateway does.
+//! Tests that each checker detects a gateway that breaks the rule it checks. Here a rogue gateway sends requests to the engines
+//! or responses to the clients.
 
 use bytes::BytesMut;
 use reedwalk_fault_injection::Load;
@@ -15,7 +15,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A gateway's connection to an engine, on which a test sends what it likes.
+/// A connection of a rogue gateway to an engine, on which a test sends arbitrary requests.
 struct RogueConnection(TcpStream);
 
 impl RogueConnection {
@@ -55,7 +55,7 @@
         connection.send("r1", None, 0.1).await;
         connection.read_response().await;
     }
-    assert_eq!(request_log.max_attempts(), 3, "the most attempts that are allowed");
+    assert_eq!(request_log.max_attempts(), 3, "the maximum number of attempts");
     other_connection.send("r1", None, 0.1).await;
     other_connection.read_response().await;
     assert_eq!(request_log.max_attempts(), 4);
