--- a/fault-injection/src/bin/run-scenario.rs
+++ b/fault-injection/src/bin/run-scenario.rs
@@ -23,7 +23,7 @@
 /// Message that a gateway logs when it ejects an engine because of reports from other gateways.
 const EJECTED_ON_GOSSIP: &str = "engine ejected on gossip";
 /// Interval at which due steps are executed.
-const STEP_INTERVAL: Duration = Duration::from_millis(10);
+const STEP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Length of a step's label in a chart, in characters.
 const MAX_LABEL_CHARS: usize = 24;
 /// Outcomes of requests, in the order of [`outcome_index`].
@@ -188,9 +188,9 @@
 
 fn load(scenario: &Scenario) -> Load {
     let rate_per_gateway = scenario.rate / scenario.gateways as f64;
-    let lookups = 1.0 - scenario.statements - scenario.keyed_requests;
+    let lookups = 1.0 - scenario.statement_share - scenario.keyed_request_share;
     Load {
-        class_shares: [lookups, scenario.statements, scenario.keyed_requests],
+        class_shares: [lookups, scenario.statement_share, scenario.keyed_request_share],
         ..Load::lookups(scenario.gateways, rate_per_gateway, scenario.work_ms, scenario.seed)
     }
 }
@@ -213,7 +213,7 @@
             run_step(cluster, step);
         }
         bar.set_position(started.elapsed().as_secs());
-        cluster.run_for(STEP_INTERVAL);
+        cluster.run_for(STEP_POLL_INTERVAL);
     }
     bar.finish_and_clear();
     Ok(marks)
--- a/fault-injection/src/cluster.rs
+++ b/fault-injection/src/cluster.rs
@@ -222,9 +222,9 @@
     pub fn restart(&mut self, numbers: &[usize]) {
         let (serial, draining) = self.draining_engines();
         for &number in numbers {
-            let known_events = &mut self.gateway_mut(number).config.known_events;
-            known_events["seq"] = json!(serial);
-            let servers = &mut known_events["results"][0]["fleet"]["servers"];
+            let initial_events = &mut self.gateway_mut(number).config.initial_events;
+            initial_events["seq"] = json!(serial);
+            let servers = &mut initial_events["results"][0]["fleet"]["servers"];
             for server in servers.as_array_mut().expect("a list of engines") {
                 if draining.iter().any(|id| server["id"] == *id.as_str()) {
                     server["state"] = json!("terminating");
--- a/fault-injection/src/cluster_config.rs
+++ b/fault-injection/src/cluster_config.rs
@@ -102,7 +102,7 @@
 }
 
 /// The discovery server's events that a gateway starts with: one list of all engines.
-fn known_events(config: &ClusterConfig, engines: &[SocketAddr], started_ms: u64) -> Value {
+fn initial_events(config: &ClusterConfig, engines: &[SocketAddr], started_ms: u64) -> Value {
     let server = |(number, address): (usize, &SocketAddr)| {
         json!({"id": engine_id(number), "addr": address.to_string(), "zone": "hall-a", "kind": "std-8c",
             "cell": config.cell(number), "state": "in_service", "weight": 1, "started_ms": started_ms})
@@ -232,7 +232,7 @@
         let gateway_config = GatewayConfig {
             number,
             gateways: config.gateways,
-            known_events: known_events(config, &engine_addresses, dependencies.started_ms),
+            initial_events: initial_events(config, &engine_addresses, dependencies.started_ms),
             discovery_server: dependencies.discovery_server(config, number),
             gossip_addresses: dependencies.network.addresses.to_vec(),
             operator_file: operator_file.clone(),
--- a/fault-injection/src/fault/tests.rs
+++ b/fault-injection/src/fault/tests.rs
@@ -13,9 +13,11 @@
     };
     let deliveries: Vec<_> =
         (0..10_000).flat_map(|_| sampler.sample(&fault, &[7; 20], &mut applied)).collect();
-    let near = |found: u64, wanted: f64| (found as f64 - wanted).abs() < 0.1 * wanted;
+    let is_near = |found: u64, wanted: f64| (found as f64 - wanted).abs() < 0.1 * wanted;
     assert!(
-        near(applied.lost, 3_000.0) && near(applied.duplicated, 700.0) && near(applied.corrupted, 385.0),
+        is_near(applied.lost, 3_000.0)
+            && is_near(applied.duplicated, 700.0)
+            && is_near(applied.corrupted, 385.0),
         "{applied}"
     );
     assert_eq!(deliveries.len() as u64, applied.passed);
--- a/fault-injection/src/load.rs
+++ b/fault-injection/src/load.rs
@@ -26,7 +26,7 @@
 /// Default timeout of a request, in milliseconds.
 const DEFAULT_TIMEOUT_MS: u64 = 4_000;
 /// Default standard deviation of the natural logarithm of the work.
-const DEFAULT_WORK_LOG_DEVIATION: f64 = 0.5;
+const DEFAULT_WORK_LOG_STD_DEV: f64 = 0.5;
 /// Number of schemas over which the queries are distributed.
 const SCHEMAS: u64 = 64;
 /// Increment between the seeds of gateways: 2^64 divided by the golden ratio.
@@ -58,7 +58,7 @@
     /// Median of the work of a request, in milliseconds on one core.
     pub median_work_ms: f64,
     /// Standard deviation of the natural logarithm of the work.
-    pub work_log_deviation: f64,
+    pub work_log_std_dev: f64,
     /// Timeout of each request, in milliseconds.
     pub timeout_ms: u64,
     /// A client whose keyed request loses its connection, or is rejected on a later attempt, tries again with the same key
@@ -75,7 +75,7 @@
             rates: vec![rate; gateways],
             class_shares: [1.0, 0.0, 0.0],
             median_work_ms,
-            work_log_deviation: DEFAULT_WORK_LOG_DEVIATION,
+            work_log_std_dev: DEFAULT_WORK_LOG_STD_DEV,
             timeout_ms: DEFAULT_TIMEOUT_MS,
             retry_window: None,
             seed,
@@ -219,7 +219,7 @@
         Some(Self {
             rng: StdRng::seed_from_u64(gateway_seed),
             interarrival_seconds: Exp::new(rate).unwrap(),
-            work_ms: LogNormal::new(load.median_work_ms.ln(), load.work_log_deviation).unwrap(),
+            work_ms: LogNormal::new(load.median_work_ms.ln(), load.work_log_std_dev).unwrap(),
             class_shares: load.class_shares,
         })
     }
--- a/fault-injection/src/process.rs
+++ b/fault-injection/src/process.rs
@@ -57,7 +57,7 @@
     /// Gateways of the cluster.
     pub gateways: usize,
     /// The discovery server's events that it starts with, as the platform writes them.
-    pub known_events: Value,
+    pub initial_events: Value,
     /// The discovery server, if there is one.
     pub discovery_server: Option<SocketAddr>,
     /// Gossip address of each gateway; empty if gossip is off.
@@ -155,7 +155,7 @@
             "listen": self.address,
             "seed": format!("{:x}", config.seed),
             "names": config.discovery_server,
-            "known": config.known_events,
+            "known": config.initial_events,
             "console": "127.0.0.1:0",
             "peer_listen": "127.0.0.1:0",
             "peers": config.gossip_addresses,
--- a/fault-injection/src/scenario.rs
+++ b/fault-injection/src/scenario.rs
@@ -123,9 +123,9 @@
     /// Median of the work of a request, in milliseconds on one core.
     pub work_ms: f64,
     /// Share of statements, 0 to 1.
-    pub statements: f64,
+    pub statement_share: f64,
     /// Share of requests with an idempotency key, 0 to 1.
-    pub keyed_requests: f64,
+    pub keyed_request_share: f64,
     /// How long it runs.
     pub duration: Duration,
     /// The steps, in order of their times.
@@ -146,8 +146,8 @@
             gossip: true,
             rate: 100.0,
             work_ms: 50.0,
-            statements: 0.0,
-            keyed_requests: 0.0,
+            statement_share: 0.0,
+            keyed_request_share: 0.0,
             duration: Duration::from_secs(10),
             steps: Vec::new(),
         }
--- a/fault-injection/src/scenario/parser.rs
+++ b/fault-injection/src/scenario/parser.rs
@@ -75,8 +75,8 @@
     fn load(&self, node: &KdlNode, scenario: &mut Scenario) -> Result<()> {
         self.arguments(node, &["rate", "work", "statements", "keyed-requests"])?;
         scenario.rate = self.number_property(node, "rate", scenario.rate)?;
-        scenario.statements = self.number_property(node, "statements", 0.0)?;
-        scenario.keyed_requests = self.number_property(node, "keyed-requests", 0.0)?;
+        scenario.statement_share = self.number_property(node, "statements", 0.0)?;
+        scenario.keyed_request_share = self.number_property(node, "keyed-requests", 0.0)?;
         if node.get("work").is_some() {
             scenario.work_ms = self.duration_property(node, "work")?.as_secs_f64() * MS_PER_SECOND;
         }
--- a/fault-injection/src/scenario/tests.rs
+++ b/fault-injection/src/scenario/tests.rs
@@ -13,7 +13,7 @@
         ("failing", 11, 20, 10, 4.0)
     );
     assert_eq!(
-        (scenario.rate, scenario.work_ms, scenario.keyed_requests, scenario.duration.as_secs()),
+        (scenario.rate, scenario.work_ms, scenario.keyed_request_share, scenario.duration.as_secs()),
         (480.0, 100.0, 0.1, 12)
     );
     let steps: Vec<_> = scenario.steps.iter().map(|scheduled| scheduled.step.clone()).collect();
