--- a/fault-injection/src/scenario/tests.rs
+++ b/fault-injection/src/scenario/tests.rs
@@ -13,7 +13,7 @@
         ("failing", 11, 20, 10, 4.0)
     );
     assert_eq!(
-        (scenario.rate, scenario.work_ms, scenario.keyed_requests, scenario.duration.as_secs()),
+        (scenario.rate, scenario.work_ms, scenario.keyed_request_share, scenario.duration.as_secs()),
         (480.0, 100.0, 0.1, 12)
     );
     let steps: Vec<_> = scenario.steps.iter().map(|scheduled| scheduled.step.clone()).collect();
@@ -43,7 +43,7 @@
     let cases = [
         (" gateway 3\n}", 4, "unknown setting 'gateway'"),
         (" at \"soon\" { heal }\n}", 4, "a time such as"),
-        (" at \"1s\" {\n  engine 7 \"failing\"\n }\n}", 5, "no engine 7, but 0 to 1"),
+        (" at \"1s\" {\n  engine 7 \"failing\"\n }\n}", 5, "no engine 7; expected 0 to 1"),
         (" at \"1s\" {\n  engine 1 \"ill\"\n }\n}", 5, "\"healthy\", \"failing\""),
         (" at \"1s\" {\n\n  kill 4\n }\n}", 6, "from 0 to 3"),
         (" at \"1s\" { explode }\n}", 4, "unknown step 'explode'"),
