--- a/benchmarks/src/bin/measure-cores/main.rs
+++ b/benchmarks/src/bin/measure-cores/main.rs
@@ -1,9 +1,9 @@
-//! The gain in throughput with several cores, and the loss in service: `make measure-cores`.
+//! Measures throughput gain and service level on several cores: `make measure-cores`.
 //!
-//! Two modes are compared: one broker on core 0 with connections on all cores (`cores N`), and N gateways on one core
-//! each that share nothing, each configured for N gateways. Throughput is the highest rate of an open-loop load that is
-//! held with p99 under a bound; service comes from a scenario with a slow engine, an engine that dies, slow starts and a
-//! drain, the same for all rows of a seed.
+//! Compares two modes: one broker on core 0 with connections on all cores (`cores N`), and N independent single-core
+//! gateways, each configured for N gateways. Throughput is the highest rate of an open-loop load that is sustained with
+//! p99 below a limit. The service level comes from a scenario with a slow engine, an engine that crashes, slow starts and
+//! a drain; it is the same for all rows of a seed.
 
 mod scenario;
 mod throughput;
@@ -12,19 +12,18 @@
 use reedwalk_testkit::load_generator::RequestClass;
 use scenario::{SCENARIO_DURATION, ScenarioResult, run_scenario};
 use std::net::SocketAddr;
-use throughput::{HeldRate, MAX_P99_MS, SESSIONS, highest_rate};
+use throughput::{MAX_P99_MS, SESSIONS, SustainedRate, highest_rate};
 
-/// Cores that clients and engines use beside the gateways.
-const OTHER_CORES: usize = 4;
-/// Seeds of the scenario.
+/// Cores used by the load generator and the engines, in addition to those of the gateways.
+const LOAD_AND_ENGINE_CORES: usize = 4;
 const SEEDS: [u64; 3] = [11, 23, 47];
 
-/// How the cores are used.
+/// How gateways are distributed over the cores.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Mode {
     /// One gateway whose broker runs on core 0 and whose connections run on all cores.
     OneBroker,
-    /// A gateway of its own on each core.
+    /// One gateway for each core.
     ManyGateways,
 }
 
@@ -37,7 +36,7 @@
     }
 }
 
-/// The rows: mode, and number of cores.
+/// Rows of both tables: mode and number of cores.
 const ROWS: [(Mode, usize); 7] = [
     (Mode::OneBroker, 1),
     (Mode::OneBroker, 2),
@@ -48,7 +47,7 @@
     (Mode::ManyGateways, 8),
 ];
 
-/// Starts the gateways of a row.
+/// Starts the gateways of one row.
 fn start_gateways(
     mode: Mode,
     cores: usize,
@@ -76,8 +75,8 @@
     (0..gateways).map(start).collect()
 }
 
-/// The class that all others are variants of: cheap queries that may run again.
-fn lookup() -> RequestClass {
+/// Base class of the load: cheap idempotent queries. The other classes are derived from it.
+fn lookup_class() -> RequestClass {
     RequestClass {
         route: "lookup",
         share: 1.0,
@@ -93,15 +92,15 @@
     }
 }
 
-/// What a row of the throughput table comes to.
-struct Throughput {
-    /// Requests a second that were held.
+/// Result of one row of the throughput table.
+struct ThroughputRow {
+    /// Sustained rate, in requests per second.
     rate: f64,
-    /// Requests a second that the CPU time alone would allow.
+    /// Rate that CPU time alone would allow, in requests per second.
     cpu_bound_rate: f64,
 }
 
-fn measure_throughput(machine_cores: usize) -> Vec<Throughput> {
+fn measure_throughput(machine_cores: usize) -> Vec<ThroughputRow> {
     println!(
         "\nthroughput: engines that answer at once, {SESSIONS} sessions, p99 <= {MAX_P99_MS} ms, 99.9% served"
     );
@@ -112,10 +111,10 @@
     ROWS.iter().map(|(mode, cores)| print_throughput(*mode, *cores, machine_cores)).collect()
 }
 
-fn print_throughput(mode: Mode, cores: usize, machine_cores: usize) -> Throughput {
-    let HeldRate { rate, result, cpu_ms, broker_share, memory_mb } = highest_rate(mode, cores);
+fn print_throughput(mode: Mode, cores: usize, machine_cores: usize) -> ThroughputRow {
+    let SustainedRate { rate, result, cpu_ms, broker_share, memory_mb } = highest_rate(mode, cores);
     let cpu_per_1000 = cpu_ms * 1000.0 / result.served as f64;
-    let is_oversubscribed = cores + OTHER_CORES > machine_cores;
+    let is_oversubscribed = cores + LOAD_AND_ENGINE_CORES > machine_cores;
     println!(
         "{:<13} {cores:>5} {rate:>10.0} {:>8.2} {:>8.2} {:>8.2} {cpu_per_1000:>12.1} {:>8} {memory_mb:>10.1}{}",
         mode.name(),
@@ -125,18 +124,18 @@
         broker_share.map_or("-".into(), |share| format!("{:.0}%", share * 100.0)),
         if is_oversubscribed { "  oversubscribed" } else { "" }
     );
-    Throughput { rate, cpu_bound_rate: 1e6 * cores as f64 / cpu_per_1000 }
+    ThroughputRow { rate, cpu_bound_rate: 1e6 * cores as f64 / cpu_per_1000 }
 }
 
-/// What a row of the service table comes to.
-struct Service {
-    /// Mean service level of the seeds.
+/// Result of one row of the service table.
+struct ServiceRow {
+    /// Mean service level over all seeds.
     service: f64,
     attempts_after_drain: u64,
     slow_start_overruns: u64,
 }
 
-fn measure_service() -> Vec<Service> {
+fn measure_service() -> Vec<ServiceRow> {
     let seconds = SCENARIO_DURATION.as_secs();
     println!("\nservice: scenarios of {seconds} s, seeds {SEEDS:?}, all rows of a seed at once");
     println!(
@@ -163,7 +162,7 @@
     ROWS.iter().zip(&results).map(|((mode, cores), results)| print_service(*mode, *cores, results)).collect()
 }
 
-fn print_service(mode: Mode, cores: usize, results: &[ScenarioResult]) -> Service {
+fn print_service(mode: Mode, cores: usize, results: &[ScenarioResult]) -> ServiceRow {
     let by_seed: Vec<_> = results.iter().map(|result| result.load.service()).collect();
     let service = by_seed.iter().sum::<f64>() / by_seed.len() as f64;
     let by_seed: Vec<_> = by_seed.iter().map(|service| format!("{service:.3}")).collect();
@@ -182,7 +181,7 @@
         max(|result| result.load.latency_ms(0.99)),
         max(|result| result.slow_start_peak)
     );
-    Service { service, attempts_after_drain, slow_start_overruns }
+    ServiceRow { service, attempts_after_drain, slow_start_overruns }
 }
 
 fn main() {
@@ -197,17 +196,17 @@
         rows.filter(|((mode, _), _)| *mode == Mode::OneBroker).map(|(_, service)| service).collect();
     let late_sends: u64 = one_broker.iter().map(|row| row.attempts_after_drain).sum();
     let overruns: u64 = one_broker.iter().map(|row| row.slow_start_overruns).sum();
-    let (on_one, on_four) = (&throughputs[0], &throughputs[2]);
+    let (one_core, four_cores) = (&throughputs[0], &throughputs[2]);
     println!(
         "\nCPU alone would allow {:.0} req/s on 1 core, {:.0} on 4; the gain over the former is {:.2}",
-        on_one.cpu_bound_rate,
-        on_four.cpu_bound_rate,
-        on_four.rate / on_one.cpu_bound_rate
+        one_core.cpu_bound_rate,
+        four_cores.cpu_bound_rate,
+        four_cores.rate / one_core.cpu_bound_rate
     );
     println!(
         "cores: gain 1->4 = {:.2}, service 1 = {:.3}, service 4 = {:.3}, late sends = {late_sends}, \
          slow-start overruns = {overruns}",
-        on_four.rate / on_one.rate,
+        four_cores.rate / one_core.rate,
         services[0].service,
         services[2].service
     );
--- a/benchmarks/src/bin/measure-cores/scenario.rs
+++ b/benchmarks/src/bin/measure-cores/scenario.rs
@@ -1,6 +1,6 @@
-//! The scenario of the service table: engines that are slow, die, drain and start under a load.
+//! The scenario of the service table: engines are slow, crash, drain and start under load.
 
-use super::{Mode, lookup, start_gateways};
+use super::{Mode, lookup_class, start_gateways};
 use reedwalk_benchmarks::run_on_own_thread;
 use reedwalk_testkit::config::initial_endpoints;
 use reedwalk_testkit::discovery_server::{self, EngineList, ListedEngine};
@@ -13,109 +13,109 @@
 
 /// Time over which requests arrive.
 pub(super) const SCENARIO_DURATION: Duration = Duration::from_secs(16);
-/// Time in which the sessions open.
-const LEAD: Duration = Duration::from_millis(500);
+/// Time for the sessions to open before requests arrive.
+const SESSION_SETUP_TIME: Duration = Duration::from_millis(500);
 
-const ENGINES: [&str; 8] = ["s-0", "s-1", "s-2", "s-3", "s-4", "s-5", "s-6", "s-7"];
-/// Engines that are listed from the start; the others follow.
-const INITIAL_ENGINES: usize = 6;
+const ENGINE_IDS: [&str; 8] = ["s-0", "s-1", "s-2", "s-3", "s-4", "s-5", "s-6", "s-7"];
+/// Number of engines listed at the start; the others are added later.
+const INITIAL_ENGINE_COUNT: usize = 6;
 const ENGINE_CORES: f64 = 8.0;
-/// The engine that works at a third of its speed.
+/// The engine that runs at a third of normal speed.
 const SLOW_ENGINE: usize = 1;
 const SLOWDOWN: f64 = 3.0;
-/// The engine that dies, when it does, and when it is no longer listed, in seconds.
-const DYING_ENGINE: usize = 2;
-const DEATH_S: u64 = 5;
+/// The engine that crashes, the time of the crash, and the time of its removal from the list, in seconds.
+const CRASHING_ENGINE: usize = 2;
+const CRASH_S: u64 = 5;
 const REMOVAL_S: u64 = 6;
-/// The engine that drains, and when, in seconds.
+/// The engine that drains, and the time of it, in seconds.
 const DRAINING_ENGINE: usize = 3;
 const DRAIN_S: u64 = 9;
-/// The engines that start under load, and when, in seconds.
+/// The engines that start under load, and their start times in seconds.
 const STARTING_ENGINES: [(usize, u64); 2] = [(6, 3), (7, 8)];
-/// Time after the notification of a drain from which on attempts are late.
+/// Grace time after the notification of a drain; attempts after it count as late.
 const DRAIN_GRACE: Duration = Duration::from_secs(2);
-/// Share of its capacity that an engine has at its start, and seconds until it has all of it.
-const INITIAL_SHARE: f64 = 0.33;
+/// Share of its full capacity that an engine has at its start, and the seconds until it reaches full capacity.
+const INITIAL_CAPACITY_SHARE: f64 = 0.33;
 const RAMP_S: u64 = 15;
-/// Work that a starting engine may be sent in a window, as a multiple of its capacity.
+/// Limit on the work sent to a starting engine in a window, as a multiple of its capacity.
 const OVERLOAD_MULTIPLE: f64 = 2.5;
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 
-/// What a scenario came to.
+/// Result of a scenario.
 pub(super) struct ScenarioResult {
     pub(super) load: LoadResult,
     /// Attempts that reached the draining engine after the grace time.
     pub(super) attempts_after_drain: usize,
-    /// Windows in which a starting engine was sent more work than the rule allows.
+    /// Windows in which a starting engine was sent more work than the overload limit allows.
     pub(super) slow_start_overruns: usize,
-    /// The fullest such window, as a multiple of what the rule allows.
+    /// Work in the fullest window, as a multiple of the limit.
     pub(super) slow_start_peak: f64,
 }
 
-/// The engines of a scenario, its discovery server, and their log.
-struct Surroundings {
+/// The engines and the discovery server of a scenario, and the log of requests.
+struct Environment {
     log: RequestLog,
     addresses: Vec<SocketAddr>,
-    dying_engine: ModelledEngine,
-    list: EngineList,
+    crashing_engine: ModelledEngine,
+    engine_list: EngineList,
     discovery: SocketAddr,
 }
 
-impl Surroundings {
+impl Environment {
     fn start() -> Self {
-        let (log, list) = (RequestLog::default(), EngineList::default());
-        let (engines_log, served_list) = (log.clone(), list.clone());
+        let (log, engine_list) = (RequestLog::default(), EngineList::default());
+        let (engines_log, served_list) = (log.clone(), engine_list.clone());
         let (engines, discovery) = run_on_own_thread(move || async move {
             let mut engines = Vec::new();
-            for number in 0..ENGINES.len() {
-                engines.push(start_engine(number, engines_log.clone()).await);
+            for number in 0..ENGINE_IDS.len() {
+                engines.push(start_scenario_engine(number, engines_log.clone()).await);
             }
             let (discovery, _) = discovery_server::start_server(served_list).await;
             (engines, discovery)
         });
         let addresses = engines.iter().map(|engine| engine.address).collect();
-        let dying_engine = engines[DYING_ENGINE].clone();
-        Self { log, addresses, dying_engine, list, discovery }
+        let crashing_engine = engines[CRASHING_ENGINE].clone();
+        Self { log, addresses, crashing_engine, engine_list, discovery }
     }
 
     fn endpoint(&self, number: usize) -> ListedEngine {
-        let id = ENGINES[number].into();
+        let id = ENGINE_IDS[number].into();
         ListedEngine { id, address: self.addresses[number], draining: false, started_ms: 0 }
     }
 
-    /// The endpoint of an engine that starts now.
+    /// Endpoint of an engine whose start time is now.
     fn starting_endpoint(&self, number: usize) -> ListedEngine {
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
         ListedEngine { started_ms: unix_time.as_millis() as u64, ..self.endpoint(number) }
     }
 
-    /// Lists these engines from now on, under the next serial.
-    fn announce(&self, endpoints: &[ListedEngine]) {
-        let mut list = self.list.lock().unwrap();
-        *list = (list.0 + 1, endpoints.to_vec());
+    /// Replaces the published list of engines and increments its serial.
+    fn publish_endpoints(&self, endpoints: &[ListedEngine]) {
+        let mut engine_list = self.engine_list.lock().unwrap();
+        *engine_list = (engine_list.0 + 1, endpoints.to_vec());
     }
 }
 
-/// Starts an engine of a scenario; the ramp of one that starts under load begins when it is listed.
-async fn start_engine(number: usize, log: RequestLog) -> ModelledEngine {
+/// Starts an engine of the scenario. If it starts under load, its capacity ramp begins when it is listed.
+async fn start_scenario_engine(number: usize, log: RequestLog) -> ModelledEngine {
     let slowdown = if number == SLOW_ENGINE { SLOWDOWN } else { 1.0 };
     let shape = Shape { cores: ENGINE_CORES, slowdown, ..Shape::default() };
-    let ramp = RampShape { initial_share: INITIAL_SHARE, ramp_s: RAMP_S as f64 };
-    let starts_at_s = STARTING_ENGINES.iter().find(|(engine, _)| *engine == number).map(|(_, at_s)| *at_s);
-    let shape = match starts_at_s {
+    let ramp = RampShape { initial_share: INITIAL_CAPACITY_SHARE, ramp_s: RAMP_S as f64 };
+    let start_time_s = STARTING_ENGINES.iter().find(|(engine, _)| *engine == number).map(|(_, at_s)| *at_s);
+    let shape = match start_time_s {
         Some(at_s) => Shape { slow_start: Some(ramp), starts_at_s: at_s as f64, ..shape },
         None => shape,
     };
-    start_modelled_engine(ENGINES[number], Some(shape), log).await
+    start_modelled_engine(ENGINE_IDS[number], Some(shape), log).await
 }
 
-/// The slow start of an engine that starts now.
+/// Slow-start parameters of an engine that starts now.
 fn slow_start(number: usize) -> SlowStart {
     SlowStart {
-        engine: ENGINES[number].into(),
+        engine: ENGINE_IDS[number].into(),
         started_at: Instant::now(),
         cores: ENGINE_CORES,
-        initial_share: INITIAL_SHARE,
+        initial_share: INITIAL_CAPACITY_SHARE,
         ramp: Duration::from_secs(RAMP_S),
         window: OVERLOAD_WINDOW,
         multiple: OVERLOAD_MULTIPLE,
@@ -123,7 +123,7 @@
 }
 
 fn load_plan(seed: u64) -> LoadPlan {
-    let lookup = RequestClass { share: 0.7, work_ms: 30.0, ..lookup() };
+    let lookup = RequestClass { share: 0.7, work_ms: 30.0, ..lookup_class() };
     let statement = RequestClass {
         route: "statement",
         share: 0.2,
@@ -153,32 +153,32 @@
     }
 }
 
-/// Runs the scenario for one row: six engines at the start, one of them slow; one dies, one drains, and two more start.
+/// Runs the scenario for one row: of six initial engines one is slow, one crashes and one drains; two more start.
 pub(super) fn run_scenario(mode: Mode, cores: usize, seed: u64) -> ScenarioResult {
-    let surroundings = Surroundings::start();
-    let initial: Vec<_> = (0..INITIAL_ENGINES).map(|number| surroundings.endpoint(number)).collect();
-    *surroundings.list.lock().unwrap() = (2, initial.clone());
-    let endpoints = initial_endpoints(&surroundings.addresses[..INITIAL_ENGINES]);
-    let gateways = start_gateways(mode, cores, &endpoints, Some(surroundings.discovery), seed);
+    let environment = Environment::start();
+    let initial: Vec<_> = (0..INITIAL_ENGINE_COUNT).map(|number| environment.endpoint(number)).collect();
+    *environment.engine_list.lock().unwrap() = (2, initial.clone());
+    let endpoints = initial_endpoints(&environment.addresses[..INITIAL_ENGINE_COUNT]);
+    let gateways = start_gateways(mode, cores, &endpoints, Some(environment.discovery), seed);
     let addresses: Vec<_> = gateways.iter().map(|gateway| gateway.address).collect();
     let plan = load_plan(seed);
     let start = Instant::now();
-    let load = std::thread::spawn(move || load_generator::run(&addresses, &plan, LEAD));
-    let (slow_starts, drained_at) = change_engines(&surroundings, initial, start);
+    let load = std::thread::spawn(move || load_generator::run(&addresses, &plan, SESSION_SETUP_TIME));
+    let (slow_starts, drain_published_at) = change_engines(&environment, initial, start);
     let load = load.join().unwrap();
-    let log = &surroundings.log;
-    let drained = ENGINES[DRAINING_ENGINE];
+    let log = &environment.log;
+    let draining_engine = ENGINE_IDS[DRAINING_ENGINE];
     ScenarioResult {
         load,
-        attempts_after_drain: log.attempts_after_drain(drained, drained_at, DRAIN_GRACE),
+        attempts_after_drain: log.attempts_after_drain(draining_engine, drain_published_at, DRAIN_GRACE),
         slow_start_overruns: slow_starts.iter().map(|start| log.slow_start_overruns(start)).sum(),
         slow_start_peak: slow_starts.iter().map(|start| log.slow_start_peak(start)).fold(0.0, f64::max),
     }
 }
 
-/// Makes all changes to the engines at their times. Returns the slow starts, and when the drain was announced.
+/// Applies the scheduled changes to the engines. Returns the slow starts and the time at which the drain was published.
 fn change_engines(
-    surroundings: &Surroundings,
+    environment: &Environment,
     mut endpoints: Vec<ListedEngine>,
     start: Instant,
 ) -> (Vec<SlowStart>, Instant) {
@@ -191,24 +191,24 @@
 
     sleep_until(first_at_s);
     slow_starts.push(slow_start(first));
-    endpoints.push(surroundings.starting_endpoint(first));
-    surroundings.announce(&endpoints);
+    endpoints.push(environment.starting_endpoint(first));
+    environment.publish_endpoints(&endpoints);
 
-    sleep_until(DEATH_S);
-    surroundings.dying_engine.set_behavior(EngineBehavior::Dead);
+    sleep_until(CRASH_S);
+    environment.crashing_engine.set_behavior(EngineBehavior::Dead);
     sleep_until(REMOVAL_S);
-    endpoints.retain(|endpoint| endpoint.id != ENGINES[DYING_ENGINE]);
-    surroundings.announce(&endpoints);
+    endpoints.retain(|endpoint| endpoint.id != ENGINE_IDS[CRASHING_ENGINE]);
+    environment.publish_endpoints(&endpoints);
 
     sleep_until(second_at_s);
     slow_starts.push(slow_start(second));
-    endpoints.push(surroundings.starting_endpoint(second));
-    surroundings.announce(&endpoints);
+    endpoints.push(environment.starting_endpoint(second));
+    environment.publish_endpoints(&endpoints);
 
     sleep_until(DRAIN_S);
-    let draining = endpoints.iter_mut().find(|endpoint| endpoint.id == ENGINES[DRAINING_ENGINE]);
-    draining.expect("it is listed").draining = true;
-    let drained_at = Instant::now();
-    surroundings.announce(&endpoints);
-    (slow_starts, drained_at)
+    let draining = endpoints.iter_mut().find(|endpoint| endpoint.id == ENGINE_IDS[DRAINING_ENGINE]);
+    draining.expect("the draining engine is listed").draining = true;
+    let drain_published_at = Instant::now();
+    environment.publish_endpoints(&endpoints);
+    (slow_starts, drain_published_at)
 }
--- a/benchmarks/src/bin/measure-cores/throughput.rs
+++ b/benchmarks/src/bin/measure-cores/throughput.rs
@@ -1,6 +1,6 @@
-//! The highest rate that a row holds against engines that answer at once.
+//! Searches for the highest rate that a row sustains with engines that answer immediately.
 
-use super::{Mode, lookup, start_gateways};
+use super::{Mode, lookup_class, start_gateways};
 use reedwalk_benchmarks::{Gateway, run_on_own_thread};
 use reedwalk_testkit::config::initial_endpoints;
 use reedwalk_testkit::load_generator::{self, LoadPlan, LoadResult};
@@ -9,88 +9,88 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A rate is held if, in one trial of several, p99 stays under this and all but one in a thousand is served.
+/// A rate is sustained if, in at least one of its trials, p99 stays within this limit and at least 99.9% of the requests
+/// are served.
 pub(super) const MAX_P99_MS: f64 = 20.0;
-const MIN_SERVED: f64 = 0.999;
-/// Trials of a rate. The machine is shared: a trial that fails may have met a busy moment.
-const TRIALS: usize = 3;
-/// Rates that are not held in a row before the search ends.
-const MAX_MISSED_RATES: usize = 2;
-/// The rates that are tried, a second: from, to, and the factor between two.
+const MIN_SERVED_SHARE: f64 = 0.999;
+/// Several trials, because other load on a shared machine can make a trial fail.
+const TRIALS_PER_RATE: usize = 3;
+/// Consecutive rates not sustained after which the search ends.
+const MAX_CONSECUTIVE_MISSES: usize = 2;
+/// Range of the rates that are tried, in requests per second, and the factor between two of them.
 const MIN_RATE: f64 = 10_000.0;
 const MAX_RATE: f64 = 150_000.0;
 const RATE_FACTOR: f64 = 1.25;
-/// Rate before the first trial, so that what a gateway learns first is not measured.
+/// Rate of the warm-up load, which keeps initial learning of the gateways out of the measurement.
 const WARM_UP_RATE: f64 = 1000.0;
-const WARM_UP_LEAD: Duration = Duration::from_millis(300);
-const TRIAL_LEAD: Duration = Duration::from_millis(200);
+const WARM_UP_SETUP_TIME: Duration = Duration::from_millis(300);
+const TRIAL_SETUP_TIME: Duration = Duration::from_millis(200);
 const TRIAL_DURATION: Duration = Duration::from_millis(1200);
-/// Sessions of the load, over all gateways.
+/// Client sessions over all gateways.
 pub(super) const SESSIONS: usize = 128;
-/// Threads of the load at least.
-const MIN_THREADS: usize = 4;
+/// Minimum number of load generator threads.
+const MIN_LOAD_THREADS: usize = 4;
 /// From this number of cores on, the thread of core 0 runs only the broker.
-const MIN_CORES_OF_BROKER_ALONE: usize = 4;
-/// Name of the thread that runs the broker.
-const BROKER_THREAD: &str = "core-0";
+const MIN_CORES_FOR_DEDICATED_BROKER: usize = 4;
+const BROKER_THREAD_NAME: &str = "core-0";
 
-/// A rate that was held, and how.
-pub(super) struct HeldRate {
-    /// Requests a second.
+/// A sustained rate and the measurements of its trial.
+pub(super) struct SustainedRate {
+    /// Requests per second.
     pub(super) rate: f64,
     pub(super) result: LoadResult,
-    /// CPU time of all gateways.
+    /// CPU time of all gateways, in milliseconds.
     pub(super) cpu_ms: f64,
-    /// Part of the CPU time that the broker's thread took, where it does nothing else.
+    /// Share of the CPU time used by the broker's thread; `None` if that thread also serves connections.
     pub(super) broker_share: Option<f64>,
-    /// Peak of the resident memory of all gateways.
+    /// Peak resident memory of all gateways, in megabytes.
     pub(super) memory_mb: f64,
 }
 
-/// The gateways of a row under trial.
-struct Trials {
+/// The gateways of one row, and the trials run on them.
+struct RateSearch {
     mode: Mode,
     cores: usize,
     gateways: Vec<Gateway>,
     addresses: Vec<SocketAddr>,
 }
 
-impl Trials {
+impl RateSearch {
     fn plan(&self, rate: f64) -> LoadPlan {
         LoadPlan {
             rate,
             duration: TRIAL_DURATION,
             sessions: SESSIONS,
-            threads: self.gateways.len().max(MIN_THREADS),
+            threads: self.gateways.len().max(MIN_LOAD_THREADS),
             seed: 5,
-            classes: vec![lookup()],
+            classes: vec![lookup_class()],
         }
     }
 
     fn warm_up(&self) {
-        load_generator::run(&self.addresses, &self.plan(WARM_UP_RATE), WARM_UP_LEAD);
+        load_generator::run(&self.addresses, &self.plan(WARM_UP_RATE), WARM_UP_SETUP_TIME);
     }
 
     fn cpu_ms(&self) -> f64 {
         self.gateways.iter().map(Gateway::cpu_ms).sum()
     }
 
-    /// Tries a rate; `None` if it was not held.
-    fn try_rate(&self, rate: f64) -> Option<HeldRate> {
+    /// Runs one trial at a rate; returns `None` if the rate was not sustained.
+    fn try_rate(&self, rate: f64) -> Option<SustainedRate> {
         let cpu_before = self.cpu_ms();
-        let broker_before = self.gateways[0].thread_cpu_ms(BROKER_THREAD);
-        let result = load_generator::run(&self.addresses, &self.plan(rate), TRIAL_LEAD);
+        let broker_before = self.gateways[0].thread_cpu_ms(BROKER_THREAD_NAME);
+        let result = load_generator::run(&self.addresses, &self.plan(rate), TRIAL_SETUP_TIME);
         let memory_mb = self.gateways.iter().map(Gateway::peak_memory_mb).sum();
         let cpu_ms = self.cpu_ms() - cpu_before;
-        let has_broker_thread = self.mode == Mode::OneBroker && self.cores >= MIN_CORES_OF_BROKER_ALONE;
+        let has_broker_thread = self.mode == Mode::OneBroker && self.cores >= MIN_CORES_FOR_DEDICATED_BROKER;
         let broker_share = has_broker_thread
-            .then(|| (self.gateways[0].thread_cpu_ms(BROKER_THREAD) - broker_before) / cpu_ms);
+            .then(|| (self.gateways[0].thread_cpu_ms(BROKER_THREAD_NAME) - broker_before) / cpu_ms);
         if std::env::var_os("TRIALS").is_some() {
             self.print_trial(rate, &result);
         }
-        let is_held = result.latency_ms(0.99) <= MAX_P99_MS
-            && result.served as f64 >= MIN_SERVED * result.offered as f64;
-        is_held.then_some(HeldRate { rate, result, cpu_ms, broker_share, memory_mb })
+        let is_sustained = result.latency_ms(0.99) <= MAX_P99_MS
+            && result.served as f64 >= MIN_SERVED_SHARE * result.offered as f64;
+        is_sustained.then_some(SustainedRate { rate, result, cpu_ms, broker_share, memory_mb })
     }
 
     fn print_trial(&self, rate: f64, result: &LoadResult) {
@@ -103,7 +103,7 @@
     }
 }
 
-/// Starts two engines on a thread of their own.
+/// Starts two engines on a new thread.
 fn start_engines() -> Vec<SocketAddr> {
     run_on_own_thread(|| async {
         let mut engines = Vec::new();
@@ -114,20 +114,20 @@
     })
 }
 
-/// Searches the highest rate that a row holds.
-pub(super) fn highest_rate(mode: Mode, cores: usize) -> HeldRate {
+/// Returns the highest sustained rate of a row.
+pub(super) fn highest_rate(mode: Mode, cores: usize) -> SustainedRate {
     let engines = [start_engines(), start_engines()].concat();
     let gateways = start_gateways(mode, cores, &initial_endpoints(&engines), None, 7);
     let addresses = gateways.iter().map(|gateway| gateway.address).collect();
-    let trials = Trials { mode, cores, gateways, addresses };
-    trials.warm_up();
-    let (mut best, mut missed, mut rate) = (None, 0, MIN_RATE);
-    while missed < MAX_MISSED_RATES && rate < MAX_RATE {
-        match (0..TRIALS).find_map(|_| trials.try_rate(rate)) {
-            Some(held) => (best, missed) = (Some(held), 0),
-            None => missed += 1,
+    let search = RateSearch { mode, cores, gateways, addresses };
+    search.warm_up();
+    let (mut best, mut consecutive_misses, mut rate) = (None, 0, MIN_RATE);
+    while consecutive_misses < MAX_CONSECUTIVE_MISSES && rate < MAX_RATE {
+        match (0..TRIALS_PER_RATE).find_map(|_| search.try_rate(rate)) {
+            Some(sustained) => (best, consecutive_misses) = (Some(sustained), 0),
+            None => consecutive_misses += 1,
         }
         rate *= RATE_FACTOR;
     }
-    best.expect("no rate was held")
+    best.expect("no rate was sustained")
 }
--- a/benchmarks/src/bin/measure-handover.rs
+++ b/benchmarks/src/bin/measure-handover.rs
@@ -1,8 +1,8 @@
-//! What clients meet while one process takes over from another: `make measure-handover`.
+//! Measures the effect of a hot restart on clients: `make measure-handover`.
 //!
-//! Clients that open a connection for each request send without a pause, while a second process starts and serves, and the
-//! first gets SIGTERM; again and again, each time with the survivor as the first. Every request and connection has a
-//! deadline, so that a lost one is counted and delays nothing.
+//! Clients open a connection for each request and send continuously. Meanwhile a second process starts and serves, and the
+//! first receives SIGTERM; this repeats with the remaining process as the first. Every request has a deadline that includes
+//! its connection, so that a lost request is counted and does not block the run.
 
 use reedwalk_benchmarks::{Gateway, GatewaySetup, HotRestart, core_count, run_on_own_thread};
 use reedwalk_testkit::config::initial_endpoints;
@@ -16,38 +16,37 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpSocket;
 
-/// Handovers of the run.
 const HANDOVERS: usize = 25;
-/// Clients that send at the same time.
+/// Concurrent clients.
 const CLIENTS: usize = 16;
-/// Load before the second process starts, and after the first has ended.
-const ONE_PROCESS: Duration = Duration::from_millis(300);
-/// Load while both serve.
-const BOTH_PROCESSES: Duration = Duration::from_millis(300);
-/// After this time a request is lost, and a process has not exited in time.
+/// Time under load before the second process starts, and after the first has exited.
+const SINGLE_PROCESS_TIME: Duration = Duration::from_millis(300);
+/// Time under load while both processes serve.
+const OVERLAP_TIME: Duration = Duration::from_millis(300);
+/// Time after which a request counts as lost, and limit on the exit of a process.
 const DEADLINE: Duration = Duration::from_secs(5);
 
-/// Outcomes of requests, over all clients.
+/// Outcomes of requests, summed over all clients.
 #[derive(Default)]
 struct Counts {
     served: AtomicUsize,
     rejected: AtomicUsize,
     failed: AtomicUsize,
-    /// There was no session, or the connection ended under a request that had not been answered.
+    /// No session could be opened, or the connection closed before the request was answered.
     no_session: AtomicUsize,
     /// No outcome by the deadline.
     lost: AtomicUsize,
     slowest_us: AtomicUsize,
 }
 
-/// Sends one request over a connection of its own, and counts its outcome.
+/// Sends one request on a new connection, and counts its outcome.
 async fn send_request(address: SocketAddr, counts: &Counts) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let request = async {
         let mut client = Client::try_connect_as(address, "app").await?;
         client.try_query(&fields("lookup", 3000, None, "SELECT 1")).await
     };
-    let counter = match tokio::time::timeout_at((began + DEADLINE).into(), request).await {
+    let counter = match tokio::time::timeout_at((started_at + DEADLINE).into(), request).await {
         Ok(Some(Ok(_))) => &counts.served,
         Ok(Some(Err((1040 | 1203 | 1226, _)))) => &counts.rejected,
         Ok(Some(Err(_))) => &counts.failed,
@@ -55,15 +54,15 @@
         Err(_) => &counts.lost,
     };
     counter.fetch_add(1, Ordering::Relaxed);
-    counts.slowest_us.fetch_max(began.elapsed().as_micros() as usize, Ordering::Relaxed);
+    counts.slowest_us.fetch_max(started_at.elapsed().as_micros() as usize, Ordering::Relaxed);
 }
 
-/// Reads a counter and sets it to 0.
-fn take(counter: &AtomicUsize) -> usize {
+/// Returns the value of a counter and resets it to 0.
+fn take_count(counter: &AtomicUsize) -> usize {
     counter.swap(0, Ordering::Relaxed)
 }
 
-/// An address that all processes of the run listen on. The socket is bound and never listens, which reserves the address.
+/// Reserves the address on which all processes of the run listen, with a socket that is bound but never listens.
 fn reserve_address() -> (TcpSocket, SocketAddr) {
     run_on_own_thread(|| async {
         let socket = TcpSocket::new_v4().unwrap();
@@ -87,7 +86,7 @@
     })
 }
 
-/// Sums over all handovers.
+/// Totals over all handovers.
 #[derive(Default)]
 struct Totals {
     requests: usize,
@@ -96,7 +95,7 @@
     lost: usize,
 }
 
-/// Replaces `old` by a new process, prints a row, and returns the new one.
+/// Replaces the process `old` with `new`, prints a row, and returns `new`.
 fn replace_process(
     number: usize,
     mut old: Gateway,
@@ -104,15 +103,16 @@
     counts: &Counts,
     totals: &mut Totals,
 ) -> Gateway {
-    std::thread::sleep(BOTH_PROCESSES);
+    std::thread::sleep(OVERLAP_TIME);
     old.terminate();
     let terminated_at = Instant::now();
     let exit = old.wait_for_exit(terminated_at + DEADLINE);
     let exit_ms = terminated_at.elapsed().as_millis();
-    std::thread::sleep(ONE_PROCESS);
-    let row = [&counts.served, &counts.rejected, &counts.failed, &counts.no_session, &counts.lost].map(take);
+    std::thread::sleep(SINGLE_PROCESS_TIME);
+    let row =
+        [&counts.served, &counts.rejected, &counts.failed, &counts.no_session, &counts.lost].map(take_count);
     let [served, rejected, failed, no_session, lost] = row;
-    let slowest_ms = take(&counts.slowest_us) as f64 / 1000.0;
+    let slowest_ms = take_count(&counts.slowest_us) as f64 / 1000.0;
     let note = if exit.is_some_and(|status| status.success()) { "" } else { "  did not exit with 0" };
     println!(
         "{number:>4} {served:>8} {rejected:>8} {failed:>7} {no_session:>10} {lost:>6} {slowest_ms:>11.1} \
@@ -149,7 +149,7 @@
     );
     let mut totals = Totals::default();
     for number in 1..=HANDOVERS {
-        std::thread::sleep(ONE_PROCESS);
+        std::thread::sleep(SINGLE_PROCESS_TIME);
         gateway = replace_process(number, gateway, start_gateway(), &counts, &mut totals);
     }
     stop.store(true, Ordering::Relaxed);
--- a/benchmarks/src/bin/measure-peers.rs
+++ b/benchmarks/src/bin/measure-peers.rs
@@ -1,7 +1,7 @@
-//! The gain from gossip. One of twenty engines starts to fail under 20, 100 and 300 gateways, with and without gossip, with
-//! datagrams lost: errors at it, time until half and all gateways have ejected it, bytes and CPU for each gateway, live
-//! gateways that were taken for dead. Then the same fleet with a rogue gateway. Paired seeds; charts in
-//! `docs/design/charts`.
+//! Measures the benefit of gossip: `make measure-peers`. One of twenty engines starts to fail in fleets of 20, 100 and 300
+//! gateways, with and without gossip, and with lost datagrams. Reports the errors at that engine, the time until half and
+//! all gateways have ejected it, bytes and CPU per gateway, and live gateways that were declared dead. A second part runs a
+//! fleet with a rogue gateway. Seeds are paired; charts go to `docs/design/charts`.
 
 use reedwalk_benchmarks::core_count;
 use reedwalk_fault_injection::chart;
@@ -15,58 +15,58 @@
 use std::time::{Duration, Instant};
 
 const ENGINES: usize = 20;
-/// Requests a second over the whole fleet, and their work: six in ten of the engines' cores.
-const RATE: f64 = 960.0;
-const WORK_MS: f64 = 90.0;
-/// Time before the engine fails, and while it does.
+/// Requests per second over the whole fleet, and the work of each: together 60% of the engines' cores.
+const REQUEST_RATE: f64 = 960.0;
+const REQUEST_WORK_MS: f64 = 90.0;
+/// Time before the engine fails, and time during which it fails.
 const HEALTHY_TIME: Duration = Duration::from_secs(3);
 const FAILING_TIME: Duration = Duration::from_secs(10);
 const SEEDS: [u64; 2] = [1, 2];
-/// Gateways of a fleet.
-const SIZES: [usize; 3] = [20, 100, 300];
-/// Log records of a gateway that ejects the failing engine, by its own measurement or on gossip.
-const EJECTIONS: [&str; 2] = ["engine ejected, engine: 0,", "engine ejected on gossip, ejected_ms"];
-
-/// What a run came to.
-struct Observed {
-    /// Attempts at the engine while it failed.
+/// Gateways per fleet.
+const FLEET_SIZES: [usize; 3] = [20, 100, 300];
+/// Log records with which a gateway ejects the failing engine, from its own measurements or on gossip.
+const EJECTION_RECORDS: [&str; 2] = ["engine ejected, engine: 0,", "engine ejected on gossip, ejected_ms"];
+
+/// Result of a run.
+struct Observation {
+    /// Attempts sent to the engine while it failed.
     errors: usize,
     requests: usize,
     /// Share of the requests that were served.
     served: f64,
     /// Seconds until each gateway had ejected the engine, in ascending order.
     ejected_after_s: Vec<f64>,
-    /// Bytes of gossip that a gateway sent a second.
+    /// Gossip bytes sent per gateway and second.
     bytes_per_second: f64,
-    /// CPU of a gateway, in percent of a core.
+    /// CPU usage per gateway, in percent of a core.
     cpu_percent: f64,
-    /// Times that a live gateway was taken for dead.
+    /// Times that a live gateway was declared dead.
     false_alarms: usize,
 }
 
 /// The configuration of a cluster.
-fn setup(gateways: usize, gossip: bool, seed: u64) -> ClusterConfig {
+fn cluster_config(gateways: usize, gossip: bool, seed: u64) -> ClusterConfig {
     let program =
         std::env::var_os("REEDWALK").map_or("target/release/reedwalk".into(), std::path::PathBuf::from);
     ClusterConfig { gossip, ..ClusterConfig::new(program, gateways, ENGINES, seed) }
 }
 
-/// Times that a gateway has taken a live one for dead.
+/// Times that this gateway declared a live one dead.
 fn false_alarms(gateway: &GatewayProcess) -> usize {
-    let number = |line: &str, what: &str| -> Option<u32> {
-        line.split(what).nth(1)?.split([',', ' ']).next()?.parse().ok()
+    let field = |line: &str, key: &str| -> Option<u32> {
+        line.split(key).nth(1)?.split([',', ' ']).next()?.parse().ok()
     };
-    let has_fallen = |l: &&LogLine| {
+    let is_decrease = |l: &&LogLine| {
         l.text.contains("live gateways changed")
-            && number(&l.text, "gateways: ") < number(&l.text, "gateways_before: ")
+            && field(&l.text, "gateways: ") < field(&l.text, "gateways_before: ")
     };
-    gateway.log().iter().filter(has_fallen).count()
+    gateway.log().iter().filter(is_decrease).count()
 }
 
-fn run(gateways: usize, gossip: bool, loss: f64, seed: u64) -> Observed {
-    let mut cluster = Cluster::start(setup(gateways, gossip, seed));
+fn run(gateways: usize, gossip: bool, loss: f64, seed: u64) -> Observation {
+    let mut cluster = Cluster::start(cluster_config(gateways, gossip, seed));
     cluster.gossip_network.set_default_fault(DatagramFault::lossy(loss));
-    cluster.start_load(&Load::lookups(gateways, RATE / gateways as f64, WORK_MS, seed));
+    cluster.start_load(&Load::lookups(gateways, REQUEST_RATE / gateways as f64, REQUEST_WORK_MS, seed));
     cluster.run_for(HEALTHY_TIME);
     let (failing_since, cpu) =
         (Instant::now(), cluster.all_gateways().map(GatewayProcess::cpu_ms).sum::<f64>());
@@ -77,20 +77,21 @@
         / FAILING_TIME.as_millis() as f64;
     let ejected_after_s = cluster
         .all_gateways()
-        .filter_map(|f| f.first_logged(&EJECTIONS, failing_since))
+        .filter_map(|gateway| gateway.first_logged(&EJECTION_RECORDS, failing_since))
         .map(|at| (at - failing_since).as_secs_f64());
     let mut ejected_after_s: Vec<_> = ejected_after_s.collect();
     ejected_after_s.sort_by(f64::total_cmp);
-    let bytes: usize = (0..gateways).map(|f| cluster.gossip_network.bytes_sent_since(f, failing_since)).sum();
+    let bytes: usize =
+        (0..gateways).map(|gateway| cluster.gossip_network.bytes_sent_since(gateway, failing_since)).sum();
     let errors = cluster.attempts_since(0, failing_since);
-    let seen = cluster.end_load();
-    let served =
-        seen.iter().filter(|a| a.outcome == RequestOutcome::Served).count() as f64 / seen.len().max(1) as f64;
+    let requests = cluster.end_load();
+    let served = requests.iter().filter(|request| request.outcome == RequestOutcome::Served).count() as f64
+        / requests.len().max(1) as f64;
     let applied = cluster.applied_faults();
     assert!(!gossip || loss == 0.0 || applied.lost > 0, "the fault was never applied: {applied}");
-    Observed {
+    Observation {
         errors,
-        requests: seen.len(),
+        requests: requests.len(),
         served,
         ejected_after_s,
         bytes_per_second: bytes as f64 / gateways as f64 / FAILING_TIME.as_secs_f64(),
@@ -99,21 +100,21 @@
     }
 }
 
-/// Least share of its even part of the attempts that an engine gets, with a rogue gateway that reports all engines as
-/// failing if `is_rogue_active`, and without one.
+/// Attempts at the engine that received the fewest, as a fraction of an equal share. If `is_rogue_active`, a rogue gateway
+/// reports all engines as failing meanwhile.
 fn min_engine_share(is_rogue_active: bool, seed: u64) -> f64 {
     let key = vec![b'k'; 40];
     let mut cluster = Cluster::start(ClusterConfig {
         rogue_gateways: vec![19],
         signing_key: Some(key.clone()),
-        ..setup(20, true, seed)
+        ..cluster_config(20, true, seed)
     });
-    cluster.start_load(&Load::lookups(20, RATE / 20.0, WORK_MS, seed));
+    cluster.start_load(&Load::lookups(20, REQUEST_RATE / 20.0, REQUEST_WORK_MS, seed));
     cluster.run_for(HEALTHY_TIME);
     let engines: Vec<_> = (0..ENGINES).map(engine_id).collect();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let rogue = cluster.start_rogue_gateway(19, Some(&key));
-    while began.elapsed() < FAILING_TIME {
+    while started_at.elapsed() < FAILING_TIME {
         if is_rogue_active {
             rogue.report_failing(&engines);
             rogue.report_failing_as_all(&engines, 20);
@@ -123,18 +124,19 @@
         }
         std::thread::sleep(Duration::from_millis(100));
     }
-    let attempts: Vec<_> = (0..ENGINES).map(|e| cluster.attempts_since(e, began) as f64).collect();
-    let even_part = attempts.iter().sum::<f64>() / ENGINES as f64;
-    attempts.into_iter().fold(f64::MAX, f64::min) / even_part
+    let attempts: Vec<_> =
+        (0..ENGINES).map(|engine| cluster.attempts_since(engine, started_at) as f64).collect();
+    let fair_share = attempts.iter().sum::<f64>() / ENGINES as f64;
+    attempts.into_iter().fold(f64::MAX, f64::min) / fair_share
 }
 
-/// One run, and what it was a run of.
+/// One run: its parameters and its result.
 struct Row {
     gateways: usize,
     gossip: bool,
     loss: f64,
     seed: u64,
-    observed: Observed,
+    observed: Observation,
 }
 
 impl Row {
@@ -156,19 +158,19 @@
         );
     }
 
-    /// Seconds until this share of the gateways had ejected the engine.
+    /// Seconds until this share of the gateways had ejected the engine, or "never".
     fn seconds_until(&self, share: f64) -> String {
         let index = (self.gateways as f64 * share).ceil() as usize - 1;
         self.observed.ejected_after_s.get(index).map_or("never".to_owned(), |seconds| format!("{seconds:.2}"))
     }
 
-    /// The line of the chart of ejections, for the runs that it shows.
+    /// Line of this run in the ejection chart; `None` if the chart does not show it.
     fn ejection_line(&self) -> Option<chart::Line> {
         let is_shown = self.seed == SEEDS[0] && (self.loss == 0.0 || self.loss == 0.3);
-        let what = if !self.gossip { "off".to_owned() } else { format!("on, {} lost", self.loss) };
+        let condition = if !self.gossip { "off".to_owned() } else { format!("on, {} lost", self.loss) };
         let share = |(index, seconds): (usize, &f64)| (*seconds, (index + 1) as f64 / self.gateways as f64);
         let points = self.observed.ejected_after_s.iter().enumerate().map(share).collect();
-        is_shown.then(|| (format!("{}, {what}", self.gateways), points))
+        is_shown.then(|| (format!("{}, {condition}", self.gateways), points))
     }
 }
 
@@ -178,7 +180,7 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let mut rows = Vec::new();
-    for gateways in SIZES {
+    for gateways in FLEET_SIZES {
         for (gossip, loss) in [(false, 0.0), (true, 0.0), (true, 0.1), (true, 0.3), (true, 0.5)] {
             for seed in SEEDS {
                 let row = Row { gateways, gossip, loss, seed, observed: run(gateways, gossip, loss, seed) };
@@ -195,7 +197,7 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-/// Mean errors by the share of datagrams lost, with gossip.
+/// Mean errors with gossip, by the share of lost datagrams.
 fn errors_by_loss(rows: &[Row], gateways: usize) -> chart::Line {
     let point = |loss: f64| {
         let same = rows.iter().filter(|row| row.gateways == gateways && row.gossip && row.loss == loss);
@@ -204,13 +206,13 @@
     (format!("{gateways} gateways"), [0.0, 0.1, 0.3, 0.5].map(point).to_vec())
 }
 
-fn draw(rows: &[Row]) -> Result<(), Box<dyn std::error::Error>> {
+fn draw_charts(rows: &[Row]) -> Result<(), Box<dyn std::error::Error>> {
     let folder = Path::new("docs/design/charts");
     std::fs::create_dir_all(folder)?;
     let lines: Vec<_> = rows.iter().filter_map(Row::ejection_line).collect();
     let title = "Share of gateways that have ejected a failing engine, by seconds since it failed";
     chart::draw_lines(&folder.join("peers-know.svg"), title, ("seconds", "share"), &lines, &[])?;
-    let errors = SIZES.map(|gateways| errors_by_loss(rows, gateways));
+    let errors = FLEET_SIZES.map(|gateways| errors_by_loss(rows, gateways));
     let title =
         "Errors at a failing engine in ten seconds, by the share of datagrams lost (mean of two seeds)";
     chart::draw_lines(&folder.join("peers-errors.svg"), title, ("share lost", "errors"), &errors, &[])
@@ -218,20 +220,23 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!(
-        "{} cores; {ENGINES} engines of 8 cores, {RATE} requests/s of {WORK_MS} ms in all; engine 0 fails for {FAILING_TIME:?}",
+        "{} cores; {ENGINES} engines of 8 cores, {REQUEST_RATE} requests/s of {REQUEST_WORK_MS} ms in all; engine 0 fails for {FAILING_TIME:?}",
         core_count()
     );
     let rows = measure();
-    draw(&rows)?;
-    let harm = mean(SEEDS.iter().map(|seed| min_engine_share(false, *seed) - min_engine_share(true, *seed)));
-    let pick = |gateways: usize, gossip: bool| {
-        let is_same = move |row: &&Row| row.gateways == gateways && row.gossip == gossip && row.loss == 0.0;
-        rows.iter().filter(is_same).map(|row| &row.observed)
+    draw_charts(&rows)?;
+    let rogue_harm =
+        mean(SEEDS.iter().map(|seed| min_engine_share(false, *seed) - min_engine_share(true, *seed)));
+    let lossless_runs = |gateways: usize, gossip: bool| {
+        let is_selected =
+            move |row: &&Row| row.gateways == gateways && row.gossip == gossip && row.loss == 0.0;
+        rows.iter().filter(is_selected).map(|row| &row.observed)
     };
-    let until_all = |observed: &Observed| observed.ejected_after_s.get(299).copied().unwrap_or(f64::INFINITY);
-    let all_ejected_s = mean(pick(300, true).map(until_all));
-    let errors = |gossip| mean(pick(300, gossip).map(|observed| observed.errors as f64));
-    let bytes = |gateways| mean(pick(gateways, true).map(|observed| observed.bytes_per_second));
+    let until_all =
+        |observed: &Observation| observed.ejected_after_s.get(299).copied().unwrap_or(f64::INFINITY);
+    let all_ejected_s = mean(lossless_runs(300, true).map(until_all));
+    let errors = |gossip| mean(lossless_runs(300, gossip).map(|observed| observed.errors as f64));
+    let bytes = |gateways| mean(lossless_runs(gateways, true).map(|observed| observed.bytes_per_second));
     let false_alarms: usize = rows.iter().filter(|row| row.gossip).map(|row| row.observed.false_alarms).sum();
     println!(
         "gossip: 300 gateways ejected in {all_ejected_s:.2} s, errors with/without = {:.0}/{:.0}, bytes/s each = {:.0} at 20, {:.0} at 300, \
@@ -240,7 +245,7 @@
         errors(false),
         bytes(20),
         bytes(300),
-        harm.max(0.0)
+        rogue_harm.max(0.0)
     );
     Ok(())
 }
--- a/benchmarks/src/bin/measure-room.rs
+++ b/benchmarks/src/bin/measure-room.rs
@@ -1,7 +1,7 @@
-//! Memory that a gateway holds for clients that connect and send no more: `make measure-room`.
+//! Measures the memory that a gateway uses for idle clients: `make measure-room`.
 //!
-//! Clients connect in steps, and after each the process's resident memory is read. The result is the slope of a line
-//! through all steps, so that what the program holds without clients is not counted.
+//! Clients connect in steps, and the resident memory of the process is read after each step. The result is the slope of a
+//! line fitted to all steps, so that memory used without clients is not counted.
 
 use reedwalk_benchmarks::{Gateway, GatewaySetup, core_count, run_on_own_thread};
 use reedwalk_testkit::config::initial_endpoints;
@@ -14,33 +14,33 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
-/// Clients of a step, and steps: below the session slots of a gateway with 1,024 descriptors.
+/// Clients per step and number of steps; together they stay below the session slots of a gateway with 1,024 descriptors.
 const CLIENTS_PER_STEP: usize = 40;
 const STEPS: usize = 4;
-/// Memory is read this soon after a step: before any of its clients is closed for being idle.
-const READ_AFTER: Duration = Duration::from_millis(300);
-/// Bytes of a statement, and how many of them are sent.
+/// Delay between a step and reading the memory; short enough that no client has reached its idle timeout.
+const READ_DELAY: Duration = Duration::from_millis(300);
+/// Length of a statement, and the part of it that is sent, in bytes.
 const STATEMENT_BYTES: usize = 8 * 1024;
-const SENT_BYTES: usize = 4 * 1024;
+const SENT_STATEMENT_BYTES: usize = 4 * 1024;
 /// The first five bytes of a login packet of 60 bytes.
-const LOGIN_START: [u8; 5] = [60, 0, 0, 1, 0x0d];
+const LOGIN_PREFIX: [u8; 5] = [60, 0, 0, 1, 0x0d];
 
-/// How far a client goes.
+/// How far a client proceeds before it goes idle.
 #[derive(Clone, Copy, Debug)]
 enum ClientKind {
-    /// It connects and sends nothing.
+    /// Connects and sends nothing.
     Silent,
-    /// It sends a part of its login.
+    /// Sends part of the login packet.
     HalfLogin,
-    /// It logs in.
+    /// Logs in.
     Idle,
-    /// It logs in, and one query is answered.
+    /// Logs in and receives the answer to one query.
     Queried,
-    /// It logs in and sends a part of a statement.
+    /// Logs in and sends part of a statement.
     HalfStatement,
 }
 
-const KINDS: [ClientKind; 5] = [
+const CLIENT_KINDS: [ClientKind; 5] = [
     ClientKind::Silent,
     ClientKind::HalfLogin,
     ClientKind::Idle,
@@ -48,13 +48,13 @@
     ClientKind::HalfStatement,
 ];
 
-/// The connection of a client of this kind; `None` where it was rejected.
+/// Connects a client of this kind; returns `None` if it was rejected.
 async fn connect(address: SocketAddr, kind: ClientKind) -> Option<TcpStream> {
     match kind {
         ClientKind::Silent => TcpStream::connect(address).await.ok(),
         ClientKind::HalfLogin => {
             let mut stream = TcpStream::connect(address).await.ok()?;
-            stream.write_all(&LOGIN_START).await.ok()?;
+            stream.write_all(&LOGIN_PREFIX).await.ok()?;
             Some(stream)
         }
         ClientKind::Idle => Some(Client::try_connect_as(address, "app").await?.stream),
@@ -67,7 +67,7 @@
             let mut stream = Client::try_connect_as(address, "app").await?.stream;
             let statement = format!("SELECT {}", "1".repeat(STATEMENT_BYTES));
             let packet = query_packet(&fields("lookup", 3000, None, &statement));
-            stream.write_all(&packet[..SENT_BYTES]).await.ok()?;
+            stream.write_all(&packet[..SENT_STATEMENT_BYTES]).await.ok()?;
             Some(stream)
         }
     }
@@ -89,14 +89,14 @@
         run_on_own_thread(|| async { start_modelled_engine("e", None, RequestLog::default()).await.address });
     let gateway =
         Gateway::start(&GatewaySetup { endpoints: initial_endpoints(&[engine]), ..GatewaySetup::default() });
-    // The first client of a kind allocates what all of them share.
+    // The first client triggers allocations that all clients of a kind share.
     let mut clients = vec![connect(gateway.address, kind).await];
     let mut points = Vec::new();
     for _ in 0..STEPS {
         for _ in 0..CLIENTS_PER_STEP {
             clients.push(connect(gateway.address, kind).await);
         }
-        sleep_until(Instant::now() + READ_AFTER).await;
+        sleep_until(Instant::now() + READ_DELAY).await;
         let connected = clients.iter().flatten().count() as f64;
         points.push((connected, gateway.resident_kb()));
     }
@@ -108,7 +108,7 @@
 async fn main() {
     println!("memory of a gateway with 1,024 descriptors; {} cores", core_count());
     println!("{:<16} {:>8} {:>12} {:>14}", "client", "accepted", "KB a client", "KB with all");
-    for kind in KINDS {
+    for kind in CLIENT_KINDS {
         measure(kind).await;
     }
 }
--- a/benchmarks/src/bin/measure-store.rs
+++ b/benchmarks/src/bin/measure-store.rs
@@ -1,8 +1,8 @@
-//! What a shared store adds to a request, and what it costs when it fails: `make measure-store`.
+//! Measures the latency that a shared store adds to requests, also while it fails: `make measure-store`.
 //!
-//! Requests with idempotency keys go through one gateway beside a test double of Redis that is healthy, slow, frozen,
-//! unreachable or flapping; latencies are compared with the same load without a store. Then three gateways draw on one quota
-//! at three times its rate, and the engines' log says how much was granted in a window.
+//! Requests with idempotency keys pass through one gateway that uses a Redis test double, which is healthy, slow, frozen,
+//! unreachable or flapping; latencies are compared with the same load without a store. Then three gateways share one quota
+//! under a load of three times its rate, and the engines' log shows how many requests were granted per window.
 
 use reedwalk_benchmarks::{Gateway, GatewaySetup, core_count, run_on_own_thread};
 use reedwalk_testkit::config::initial_endpoints;
@@ -18,22 +18,22 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Requests a second of the load that is compared.
-const RATE: f64 = 400.0;
+/// Requests per second of the latency measurement.
+const REQUEST_RATE: f64 = 400.0;
 /// Time over which requests arrive.
 const LOAD_DURATION: Duration = Duration::from_secs(5);
-/// Time in which the sessions open.
-const LEAD: Duration = Duration::from_millis(1500);
+/// Time for the sessions to open before requests arrive.
+const SESSION_SETUP_TIME: Duration = Duration::from_millis(1500);
 const SEEDS: [u64; 3] = [11, 23, 47];
-/// Requests of the quota in a window, and the gateways that share it.
+/// Requests per window of the shared quota, its window, and the gateways that share it.
 const QUOTA: u64 = 600;
-const WINDOW: Duration = Duration::from_secs(2);
-const GATEWAYS: usize = 3;
-/// Requests that the quota is drawn on with, as a multiple of its rate.
-const OVERLOAD: f64 = 3.0;
-/// Quota of the load that is compared: it is never reached.
-const UNLIMITED: u64 = 1_000_000;
-/// Time that a flapping store is healthy, and then unreachable.
+const QUOTA_WINDOW: Duration = Duration::from_secs(2);
+const QUOTA_GATEWAYS: usize = 3;
+/// Rate of the load on the quota, as a multiple of the quota's rate.
+const OVERLOAD_FACTOR: f64 = 3.0;
+/// Quota of the latency measurement; high enough that it is never reached.
+const UNREACHED_QUOTA: u64 = 1_000_000;
+/// A flapping store alternates between healthy and unreachable at this interval.
 const FLAP_INTERVAL: Duration = Duration::from_millis(300);
 
 /// The state of the store.
@@ -41,17 +41,17 @@
 enum StoreState {
     NoStore,
     Healthy,
-    /// Every reply takes this many milliseconds.
+    /// Every reply is delayed by this many milliseconds.
     Slow(u64),
-    /// No reply comes.
+    /// No reply is ever sent.
     Frozen,
     /// Every connection breaks.
     Unreachable,
-    /// It is healthy and unreachable in turn.
+    /// Alternates between healthy and unreachable.
     Flapping,
 }
 
-const STATES: [StoreState; 7] = [
+const STORE_STATES: [StoreState; 7] = [
     StoreState::NoStore,
     StoreState::Healthy,
     StoreState::Slow(20),
@@ -72,8 +72,8 @@
     }
 }
 
-/// Sets the store's state after a while, and keeps it flapping until `stop` is set.
-fn schedule_fault(
+/// Starts a thread that applies the store's state after a delay, and keeps a flapping store alternating until `stop` is set.
+fn start_fault_schedule(
     redis: &Redis,
     state: StoreState,
     after: Duration,
@@ -108,39 +108,40 @@
     }
 }
 
-/// One load.
+/// Parameters of one measured load.
 #[derive(Clone, Copy)]
-struct Load {
+struct LoadCase {
     state: StoreState,
     gateways: usize,
-    /// Requests of the quota in a window.
+    /// Requests per window of the quota.
     quota: u64,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
     seed: u64,
 }
 
-/// What a load came to.
+/// Result of a measured load.
 struct Measurement {
     result: LoadResult,
-    /// Commands of the store for each request.
+    /// Store commands per request.
     commands_per_request: f64,
-    /// Attempts of an idempotency key beyond the first, over all keys.
+    /// Repeated attempts with the same idempotency key, over all keys.
     duplicates: usize,
     /// Attempts in the fullest window of the quota.
     max_in_window: u64,
 }
 
-/// Starts an engine that logs. One that answers at once would not, so it has a shape.
+/// Starts an engine that logs its attempts. It needs a shape, because an engine without one answers immediately and logs
+/// nothing.
 fn start_engine(log: RequestLog) -> SocketAddr {
     let shape = Shape { cores: 64.0, ..Shape::default() };
     run_on_own_thread(|| async { start_modelled_engine("e", Some(shape), log).await.address })
 }
 
-/// The operator file of the gateways: a quota, and the store unless there is none.
-fn operator_file(load: &Load, store: SocketAddr) -> String {
-    let Load { state, quota, .. } = load;
-    let window = WINDOW.as_secs();
+/// Text of the operator's file: a quota, and the store unless the state is [`StoreState::NoStore`].
+fn operator_file(load: &LoadCase, store: SocketAddr) -> String {
+    let LoadCase { state, quota, .. } = load;
+    let window = QUOTA_WINDOW.as_secs();
     let contract =
         format!("contract \"app\" {{\n classes \"batch-post\"\n budget {quota} window=\"{window}s\"\n}}\n");
     match state {
@@ -149,9 +150,9 @@
     }
 }
 
-/// Runs one load; the store's state begins in the middle of it, so that gateways discover it under load.
-fn measure(load: Load) -> Measurement {
-    let Load { state, gateways, rate, seed, .. } = load;
+/// Runs one load. The store changes state halfway, so that the gateways detect it under load.
+fn measure(load: LoadCase) -> Measurement {
+    let LoadCase { state, gateways, rate, seed, .. } = load;
     let log = RequestLog::default();
     let engines = [start_engine(log.clone()), start_engine(log.clone())];
     let redis = Redis::default();
@@ -184,8 +185,8 @@
     let stop = Arc::<AtomicBool>::default();
     let commands_before = redis.commands().len();
     let (start, start_unix) = (Instant::now(), SystemTime::now().duration_since(UNIX_EPOCH).unwrap());
-    let fault = schedule_fault(&redis, state, LEAD + LOAD_DURATION / 2, &stop);
-    let result = load_generator::run(&addresses, &plan, LEAD);
+    let fault = start_fault_schedule(&redis, state, SESSION_SETUP_TIME + LOAD_DURATION / 2, &stop);
+    let result = load_generator::run(&addresses, &plan, SESSION_SETUP_TIME);
     stop.store(true, Ordering::Relaxed);
     fault.join().unwrap();
     let commands = redis.commands().len() - commands_before;
@@ -198,31 +199,31 @@
     }
 }
 
-/// Reads the engines' log: attempts of a key beyond the first, and attempts in the fullest window. Windows are those of the
-/// Unix clock, as the gateways count them.
+/// Counts, from the engines' log, repeated attempts with the same key, and attempts in the fullest window. Windows are
+/// aligned with Unix time, as in the gateways.
 fn count_attempts(log: &RequestLog, start: Instant, start_unix: Duration) -> (usize, u64) {
     let mut attempts_of_key = HashMap::<String, usize>::new();
     let mut attempts_in_window = HashMap::<u64, u64>::new();
     for entry in log.entries() {
         let AttemptEvent::Began { key, .. } = entry.event else { continue };
         let at = start_unix + entry.at.saturating_duration_since(start);
-        let window = at.as_millis() as u64 / WINDOW.as_millis() as u64;
+        let window = at.as_millis() as u64 / QUOTA_WINDOW.as_millis() as u64;
         *attempts_in_window.entry(window).or_default() += 1;
         if let Some(key) = key {
             *attempts_of_key.entry(key).or_default() += 1;
         }
     }
-    assert!(!attempts_of_key.is_empty(), "no attempt reached an engine's log");
+    assert!(!attempts_of_key.is_empty(), "no attempt with a key is in the engines' log");
     let duplicates = attempts_of_key.values().map(|attempts| attempts - 1).sum();
     (duplicates, attempts_in_window.values().max().copied().unwrap_or(0))
 }
 
-/// What the rows of the first table come to.
+/// Summary of the latency table.
 #[derive(Default)]
 struct Summary {
     duplicates: usize,
     lost: u64,
-    /// 99th percentile beyond that without a store, in milliseconds.
+    /// Increase of the 99th percentile over the run without a store, in milliseconds.
     added_p99_healthy_ms: f64,
     added_p99_frozen_ms: f64,
 }
@@ -230,7 +231,7 @@
 /// Measures the latency with the store in each state.
 fn measure_latency() -> Summary {
     println!(
-        "{RATE} requests/s with keys for {LOAD_DURATION:?}, the state begins halfway; {} seeds, {} cores",
+        "{REQUEST_RATE} requests/s with keys for {LOAD_DURATION:?}, the state begins halfway; {} seeds, {} cores",
         SEEDS.len(),
         core_count()
     );
@@ -239,27 +240,28 @@
         "store", "p50 ms", "p99 ms", "+p50", "+p99", "served", "rejected", "commands", "duplicates"
     );
     let mut summary = Summary::default();
-    let (mut base_p50, mut base_p99) = (0.0, 0.0);
-    for state in STATES {
-        let measure = |seed| measure(Load { state, gateways: 1, quota: UNLIMITED, rate: RATE, seed });
+    let (mut baseline_p50, mut baseline_p99) = (0.0, 0.0);
+    for state in STORE_STATES {
+        let measure =
+            |seed| measure(LoadCase { state, gateways: 1, quota: UNREACHED_QUOTA, rate: REQUEST_RATE, seed });
         let mut runs = SEEDS.map(measure);
         summary.duplicates += runs.iter().map(|run| run.duplicates).sum::<usize>();
         summary.lost += runs.iter().map(|run| run.result.lost).sum::<u64>();
-        // The median of the seeds.
+        // Report the seed with the median p99.
         runs.sort_by(|a, b| a.result.latency_ms(0.99).total_cmp(&b.result.latency_ms(0.99)));
         let Measurement { result, commands_per_request, duplicates, .. } = &runs[SEEDS.len() / 2];
         let (p50, p99) = (result.latency_ms(0.5), result.latency_ms(0.99));
         match state {
-            StoreState::NoStore => (base_p50, base_p99) = (p50, p99),
-            StoreState::Healthy => summary.added_p99_healthy_ms = p99 - base_p99,
-            StoreState::Frozen => summary.added_p99_frozen_ms = p99 - base_p99,
+            StoreState::NoStore => (baseline_p50, baseline_p99) = (p50, p99),
+            StoreState::Healthy => summary.added_p99_healthy_ms = p99 - baseline_p99,
+            StoreState::Frozen => summary.added_p99_frozen_ms = p99 - baseline_p99,
             _ => {}
         }
         println!(
             "{:<12} {p50:>8.2} {p99:>8.2} {:>9.2} {:>9.2} {:>8.4} {:>8} {commands_per_request:>10.2} {duplicates:>10}",
             format!("{state:?}"),
-            p50 - base_p50,
-            p99 - base_p99,
+            p50 - baseline_p50,
+            p99 - baseline_p99,
             result.served as f64 / result.offered as f64,
             result.rejected
         );
@@ -267,27 +269,30 @@
     summary
 }
 
-/// Measures what is granted in a window of a shared quota; returns the worst over all states, as a multiple of the quota.
+/// Measures how many requests a shared quota grants per window; returns the worst case over all states, as a multiple of
+/// the quota.
 fn measure_quota() -> f64 {
-    println!("quota {QUOTA} in {WINDOW:?}, {GATEWAYS} gateways, drawn on at {OVERLOAD} times its rate");
+    println!(
+        "quota {QUOTA} in {QUOTA_WINDOW:?}, {QUOTA_GATEWAYS} gateways, drawn on at {OVERLOAD_FACTOR} times its rate"
+    );
     println!("{:<12} {:>10} {:>10}", "store", "in a window", "of quota");
-    let rate = OVERLOAD * QUOTA as f64 / WINDOW.as_secs_f64();
-    let mut worst: f64 = 0.0;
-    for state in STATES.into_iter().filter(|state| *state != StoreState::NoStore) {
-        let measure = |seed| measure(Load { state, gateways: GATEWAYS, quota: QUOTA, rate, seed });
+    let rate = OVERLOAD_FACTOR * QUOTA as f64 / QUOTA_WINDOW.as_secs_f64();
+    let mut worst_overshoot: f64 = 0.0;
+    for state in STORE_STATES.into_iter().filter(|state| *state != StoreState::NoStore) {
+        let measure = |seed| measure(LoadCase { state, gateways: QUOTA_GATEWAYS, quota: QUOTA, rate, seed });
         let max_in_window = SEEDS.map(measure).iter().map(|run| run.max_in_window).max().unwrap_or(0);
-        let of_quota = max_in_window as f64 / QUOTA as f64;
-        worst = worst.max(of_quota);
-        println!("{:<12} {max_in_window:>10} {of_quota:>10.2}", format!("{state:?}"));
+        let quota_multiple = max_in_window as f64 / QUOTA as f64;
+        worst_overshoot = worst_overshoot.max(quota_multiple);
+        println!("{:<12} {max_in_window:>10} {quota_multiple:>10.2}", format!("{state:?}"));
     }
-    worst
+    worst_overshoot
 }
 
 fn main() {
     let Summary { duplicates, lost, added_p99_healthy_ms, added_p99_frozen_ms } = measure_latency();
-    let worst = measure_quota();
+    let worst_overshoot = measure_quota();
     println!(
         "store: duplicates = {duplicates}, lost = {lost}, p99 added healthy = {added_p99_healthy_ms:.2} ms, \
-         frozen = {added_p99_frozen_ms:.2} ms, overshoot worst = {worst:.2}"
+         frozen = {added_p99_frozen_ms:.2} ms, overshoot worst = {worst_overshoot:.2}"
     );
 }
--- a/benchmarks/src/lib.rs
+++ b/benchmarks/src/lib.rs
@@ -1,6 +1,7 @@
-//! What the measurements share: gateways started as processes, what they cost, and runtimes for what surrounds them.
+//! Shared code of the measurements: starts gateways as processes, reads their CPU time and memory, and runs simulated
+//! engines and servers on threads of their own.
 //!
-//! A measurement starts a gateway in front of engines and reads what it cost:
+//! A measurement starts a gateway with simulated engines and reads its resource usage:
 //!
 //! ```no_run
 //! use reedwalk_benchmarks::{Gateway, GatewaySetup, run_on_own_thread};
@@ -15,7 +16,7 @@
 //! println!("{} has used {} ms of CPU", gateway.address, gateway.cpu_ms());
 //! ```
 //!
-//! For measurements only: an error in here panics, which ends the measurement.
+//! For measurements only: every error panics, which ends the measurement.
 
 use reedwalk_testkit::config::settings;
 use serde_json::{Value, json};
@@ -27,12 +28,12 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// A running gateway; its process is killed by its id when this is dropped.
+/// A running gateway process, which is killed when this is dropped.
 pub struct Gateway {
     child: Child,
-    /// Its configuration files, which are removed with it.
+    /// Temporary configuration files, removed on drop.
     files: Vec<PathBuf>,
-    /// Where it accepts MySQL clients.
+    /// Listen address of its MySQL front.
     pub address: SocketAddr,
 }
 
@@ -40,35 +41,35 @@
 pub struct GatewaySetup<'a> {
     /// Number of gateways that share the engines.
     pub gateways: usize,
-    /// Which of them this is, from 0.
+    /// Index of this gateway among them, from 0.
     pub ordinal: usize,
-    /// The endpoint list that it starts with.
+    /// Initial list of engine endpoints.
     pub endpoints: Value,
     /// Address of the discovery server, if there is one.
     pub discovery: Option<SocketAddr>,
-    /// Text of its operator file in KDL, if it has one.
+    /// Content of the operator's file (KDL), if there is one.
     pub operator_file: Option<&'a str>,
-    /// Seed of its random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Descriptors that it may hold.
+    /// Limit on open file descriptors.
     pub max_descriptors: usize,
-    /// Part of its weight that a late answer earns, where it differs from that of the settings.
+    /// Fraction of its weight that a late answer earns; `None` keeps the value of the settings.
     pub late_weight: Option<f64>,
-    /// Set where a new process is to take over from a running one.
+    /// Set if a new process is to take over from a running one.
     pub hot_restart: Option<HotRestart<'a>>,
 }
 
-/// What the processes of a gateway share that is replaced in service. It has a console then.
+/// Resources shared by the old and the new process of a hot restart. The gateway also gets a console.
 #[derive(Clone, Copy)]
 pub struct HotRestart<'a> {
-    /// The address on which all processes accept clients.
+    /// Address on which all processes accept clients.
     pub listen: SocketAddr,
-    /// The folder in which they find each other.
+    /// Folder through which the processes find each other.
     pub folder: &'a Path,
 }
 
 impl Default for GatewaySetup<'_> {
-    /// One gateway alone, without engines.
+    /// A single gateway without engines.
     fn default() -> Self {
         Self {
             gateways: 1,
@@ -84,31 +85,35 @@
     }
 }
 
-/// Time between two checks whether a process has ended.
+/// Polling interval while waiting for a process to exit.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// A clock tick of `/proc`, in milliseconds.
-const TICK_MS: f64 = 10.0;
-/// Kilobytes in a megabyte.
+/// Clock tick of the CPU times in `/proc/PID/stat`, in milliseconds.
+const CLOCK_TICK_MS: f64 = 10.0;
 const KB_PER_MB: f64 = 1024.0;
 
 impl Gateway {
-    /// Starts the release build of the program, or the build that the variable `REEDWALK` names, and waits until it serves.
+    /// Starts the release build of the program, or the build that the variable `REEDWALK` names, and waits until it serves
+    /// clients.
     ///
     /// # Panics
     ///
     /// If the program does not exist or does not start.
     pub fn start(setup: &GatewaySetup) -> Self {
-        let program = program();
-        assert!(program.exists(), "{} is not there: make build", program.display());
-        let mut files = vec![write_file("config", &configuration(setup).to_string())];
-        let mut command = Command::new(program);
+        let gateway_program = gateway_program();
+        assert!(
+            gateway_program.exists(),
+            "{} does not exist; run `make build` first",
+            gateway_program.display()
+        );
+        let mut files = vec![write_temporary_file("config", &config_document(setup).to_string())];
+        let mut command = Command::new(gateway_program);
         command.arg("serve").arg("--config").arg(&files[0]);
         command.env_remove("GW_LISTEN").env_remove("GW_NAME").stderr(Stdio::piped()).stdout(Stdio::null());
         if let Some(HotRestart { folder, .. }) = setup.hot_restart {
             command.env_remove("GW_CONSOLE").env("TMPDIR", folder);
         }
         if let Some(text) = setup.operator_file {
-            let file = write_file("operator", text);
+            let file = write_temporary_file("operator", text);
             command.arg("--operator").arg(&file);
             files.push(file);
         }
@@ -117,7 +122,7 @@
         Self { child, files, address }
     }
 
-    /// CPU time so far, in milliseconds.
+    /// CPU time used so far, in milliseconds.
     ///
     /// # Panics
     ///
@@ -127,12 +132,12 @@
         cpu_time_ms(&stat)
     }
 
-    /// Asks the process to end, by its id.
+    /// Sends SIGTERM to the process.
     pub fn terminate(&self) {
         let _ = Command::new("kill").arg("-TERM").arg(self.child.id().to_string()).status();
     }
 
-    /// Waits until the process has ended; `None` if it has not by `deadline`.
+    /// Waits until the process has exited; returns `None` if it has not by `deadline`.
     pub fn wait_for_exit(&mut self, deadline: Instant) -> Option<ExitStatus> {
         while Instant::now() < deadline {
             if let Ok(Some(status)) = self.child.try_wait() {
@@ -143,24 +148,24 @@
         None
     }
 
-    /// Resident memory now, in kilobytes.
+    /// Current resident memory, in kilobytes.
     pub fn resident_kb(&self) -> f64 {
         self.status_kb("VmRSS:")
     }
 
-    /// Peak of the resident memory so far, in megabytes.
+    /// Peak resident memory so far, in megabytes.
     pub fn peak_memory_mb(&self) -> f64 {
         self.status_kb("VmHWM:") / KB_PER_MB
     }
 
-    /// A field of the process's status, in kilobytes.
+    /// A memory field of `/proc/PID/status`, in kilobytes.
     fn status_kb(&self, field: &str) -> f64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|line| line.starts_with(field)).unwrap();
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    /// CPU time so far of the threads of this name, in milliseconds; 0 where there is none.
+    /// CPU time used so far by all threads of this name, in milliseconds; 0 if there are none.
     ///
     /// # Panics
     ///
@@ -183,13 +188,13 @@
     }
 }
 
-/// The program that is measured.
-fn program() -> PathBuf {
+/// Path of the gateway program under measurement.
+fn gateway_program() -> PathBuf {
     std::env::var_os("REEDWALK").map_or("target/release/reedwalk".into(), PathBuf::from)
 }
 
-/// The configuration of a gateway, in the keys of its file.
-fn configuration(setup: &GatewaySetup) -> Value {
+/// Builds the JSON configuration file of a gateway.
+fn config_document(setup: &GatewaySetup) -> Value {
     let mut settings = settings();
     settings["Balancers"] = json!(setup.gateways);
     settings["Ordinal"] = json!(setup.ordinal);
@@ -208,42 +213,42 @@
     config
 }
 
-/// Writes a file of its own in the temporary folder.
-fn write_file(kind: &str, text: &str) -> PathBuf {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+/// Writes a uniquely named file in the temporary folder.
+fn write_temporary_file(kind: &str, text: &str) -> PathBuf {
+    static NEXT_FILE_NUMBER: AtomicU32 = AtomicU32::new(0);
+    let number = NEXT_FILE_NUMBER.fetch_add(1, Ordering::Relaxed);
     let file = std::env::temp_dir().join(format!("reedwalk-{}-{number}-{kind}", std::process::id()));
     std::fs::write(&file, text).unwrap();
     file
 }
 
-/// Reads the log until the gateway serves, and returns the address of its MySQL front. A thread reads the rest of the log,
-/// so that the gateway is never blocked on it.
+/// Reads the log until the gateway serves, and returns the address of its MySQL front. A thread keeps draining the log, so
+/// that the gateway never blocks on a full pipe.
 fn wait_until_serving(log: ChildStderr) -> SocketAddr {
     let mut lines = BufReader::new(log).lines();
     let line = lines.by_ref().map(Result::unwrap).find(|line| line.contains("serving"));
-    let line = line.expect("it did not start");
+    let line = line.expect("the gateway ended before it was ready to serve");
     let address = line.split("mysql: ").nth(1).unwrap().split([',', ' ']).next().unwrap();
     let address = address.parse().unwrap();
     std::thread::spawn(move || lines.for_each(drop));
     address
 }
 
-/// User and system time of a `stat` file of `/proc`, in milliseconds: its fields 14 and 15. The name in parentheses may hold
-/// spaces, so fields are counted after it.
+/// User plus system time in a `/proc` `stat` file, in milliseconds: fields 14 and 15. The command name in parentheses may
+/// contain spaces, so fields are counted from its end.
 fn cpu_time_ms(stat: &str) -> f64 {
     let fields: Vec<_> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
     let ticks = |index: usize| fields[index].parse::<f64>().unwrap();
-    (ticks(11) + ticks(12)) * TICK_MS
+    (ticks(11) + ticks(12)) * CLOCK_TICK_MS
 }
 
-/// Cores of this machine; 0 where that is not known.
+/// Number of cores available on this machine; 0 if unknown.
 pub fn core_count() -> usize {
     std::thread::available_parallelism().map_or(0, usize::from)
 }
 
-/// Runs a future on a runtime in a thread of its own, and returns its output. The runtime goes on running what the future
-/// spawned there.
+/// Runs a future on a new thread with its own runtime, and returns the output. The runtime stays alive, so that tasks
+/// spawned by the future keep running.
 ///
 /// # Panics
 ///
