--- a/recovery/src/snapshot_codec.rs
+++ b/recovery/src/snapshot_codec.rs
@@ -62,7 +62,7 @@
         match self {
             Self::TooLarge => write!(f, "exceeds the maximum size of a snapshot"),
             Self::NotASnapshot => write!(f, "not a snapshot"),
-            Self::UnknownVersion(version) => write!(f, "unknown format version {version}"),
+            Self::UnknownVersion(version) => write!(f, "of version {version}, which is not known here"),
             Self::Truncated => write!(f, "truncated"),
             Self::Corrupted => write!(f, "corrupted: a checksum or a field does not match"),
             Self::OtherHost => write!(f, "written on another host"),
