--- a/src/policy/class_estimates.rs
+++ b/src/policy/class_estimates.rs
@@ -105,8 +105,8 @@
         self.classes.iter().map(|class| class.execution_time_us.value).fold(min_us, f64::max)
     }
 
-    /// Latency objective of the class, τ in the design, extended in proportion to the typical work per thread
-    /// and capped at the deadline. Without the extension, long queries would always count as late.
+    /// Latency objective of the class, τ in the design, extended in proportion to the typical work per
+    /// thread and capped at the deadline. Without the extension, long queries would always count as late.
     pub(crate) fn objective(&self, class: ClassId) -> TimeSpan {
         let class = &self.classes[class.0];
         let stretch_us =
